--- a/include/hingespan/fleet/fleet_coordinator.h
+++ b/include/hingespan/fleet/fleet_coordinator.h
@@ -1,6 +1,6 @@
-// A node's part in placement: it reports what its callers ask for to the holder of the placement
-// lease, takes the holder's news of replicas, and, while it holds the lease itself, orders loads
-// and unloads.
+// Coordinates one node's part in replica placement. The node reports its callers' demand to the
+// holder of the placement lease and applies the replica updates that the holder sends. While it
+// holds the lease itself, it orders loads and unloads.
 #ifndef HINGESPAN_FLEET_FLEET_COORDINATOR_H_
 #define HINGESPAN_FLEET_FLEET_COORDINATOR_H_
 
@@ -32,28 +32,29 @@
   std::uint64_t incarnation = 0;
   std::string zone;
   double link_mbps = 0;
-  // Of this node's datagrams, and where it serves copies of the store's tables.
+  // Addresses at which this node receives datagrams and serves its copies of the store's tables.
   std::string address;
   std::string copies_address;
   LeaseSettings lease;
   FleetPlacerSettings placer;
-  // The table of this product's own rows in the shared store.
+  // Table in the shared store that holds the rows of nodes and of the lease.
   std::string table = "hingespan";
   absl::Duration store_interval = absl::Seconds(1);
-  // Nodes that don't read the store themselves look at a reader's copy of the table only so often,
-  // and learn of the holder from its news.
+  // Interval at which nodes that don't read the store themselves read a reader's copy of the table.
+  // Between reads they learn of the holder from its updates.
   absl::Duration relaxed_store_interval = absl::Seconds(6);
-  // The holder, which renews without reading, looks for new nodes each so many renewals.
+  // The holder renews without reading. It reads the table for new nodes once in this many renewals.
   int renewals_between_reads = 5;
-  absl::Duration load_news_interval = absl::Milliseconds(300);
-  // Added to it for each node: what the holder sends grows no faster than with the fleet.
-  absl::Duration load_news_each_node = absl::Milliseconds(10);
-  // How long a node with a narrower link than another lets that one acquire the lease first.
+  absl::Duration load_update_interval = absl::Milliseconds(300);
+  // Added to load_update_interval for each node, so that the holder's traffic grows no faster than
+  // linearly with the number of nodes.
+  absl::Duration load_update_interval_per_node = absl::Milliseconds(10);
+  // Extra wait before acquiring the lease of a node whose link is narrower than another node's.
   absl::Duration narrow_link_wait = absl::Seconds(2);
   absl::Duration report_interval = absl::Milliseconds(400);
   absl::Duration waiting_report_interval = absl::Milliseconds(150);
-  absl::Duration least_placement_interval = absl::Milliseconds(8);
-  // A process that did not run for this long may have lost its lease meanwhile.
+  absl::Duration min_placement_interval = absl::Milliseconds(8);
+  // A process that did not run for this long may have lost its lease in the meantime.
   absl::Duration pause_limit = absl::Milliseconds(1200);
 };
 
@@ -64,36 +65,37 @@
   WorkerDirectory* workers = nullptr;
   DecisionLog* log = nullptr;
   GatewayMetrics* metrics = nullptr;
-  // Whether this node reads the store for itself, and not another node's copy.
+  // Returns true if this node reads the store itself instead of another node's copy.
   std::function<bool()> reads_store;
-  // Whether other nodes read from this one.
+  // Returns true if other nodes read copies from this node.
   std::function<bool()> reads_for_others;
   // Sends a datagram to a node's address.
   std::function<void(const std::string& address, absl::string_view bytes)> send;
-  // What callers of this node ask for and what it runs, for a report.
+  // Fills a report with the demand of this node's callers and the requests it runs at workers.
   std::function<void(DemandReport*)> fill_report;
-  // Replicas or loads have changed.
+  // Called after replicas or loads have changed.
   std::function<void()> on_news;
-  // All nodes of the fleet, by a read that was begun at `asked`.
-  std::function<void(const std::vector<FleetNode>& nodes, absl::Time asked)> on_nodes;
+  // Called with all nodes of the fleet, as of a read that started at `read_started`.
+  std::function<void(const std::vector<FleetNode>& nodes, absl::Time read_started)> on_nodes;
 };
 
-// Not thread-safe; lives on its loop.
+// Not thread-safe; runs on the thread of its event loop.
 class FleetCoordinator {
  public:
   FleetCoordinator(FleetCoordinatorSettings settings, FleetCoordinatorParts parts);
 
   void Start();
-  // Acquires and renews no more; takes its own row away, while the loop runs.
+  // Stops acquiring and renewing the lease and removes this node's row. The loop must keep running
+  // until the removal has been confirmed.
   void Stop();
   void SetConfiguration(std::shared_ptr<const Configuration> configuration);
-  // A request began to wait for a replica that is not there.
+  // Called when a request starts waiting for a replica that is not there.
   void DemandWaits();
-  // Requests are running or came.
+  // Called when requests have arrived or are running.
   void DemandChanged();
   void WorkersChanged();
   void OnDatagram(absl::string_view bytes);
-  // When a replica is expected to be ready; InfiniteFuture: nothing is known.
+  // Returns the time at which a replica is expected to be ready; InfiniteFuture if unknown.
   absl::Time ExpectedReady(const ModelKey& model) const;
   bool holds_lease() const { return lease_.holding(); }
   int nodes() const { return static_cast<int>(std::max<std::size_t>(1, peers_.size())); }
@@ -101,14 +103,14 @@
  private:
   void StoreTick();
   absl::Duration StoreInterval() const;
-  absl::Duration LoadNewsInterval() const;
+  absl::Duration LoadUpdateInterval() const;
   void ReadTable();
-  void OnTable(const StoreRows& rows, absl::Time asked);
+  void OnTable(const StoreRows& rows, absl::Time read_started);
   void WriteLease();
   void AnnounceNode();
-  // Takes the row away that this process wrote, and no other.
+  // Removes this node's row only if this process wrote it.
   void WithdrawNode();
-  // The row may be gone, or be an earlier process's, written late.
+  // Announces the node again if its row is missing or is a late write of an earlier process.
   void CheckOwnRow(const StoreRows& rows);
   void NoteLeaseChange(bool held_before);
   void ScheduleReport(absl::Duration within);
@@ -116,8 +118,8 @@
   void RunPlacement();
   void SchedulePlacement(absl::Time when);
   void SendOrder(const PlannedOrder& planned);
-  void SendNews(std::vector<ReplicaNews> replicas);
-  void ApplyNews(const PlacementNews& news);
+  void SendUpdates(std::vector<ReplicaUpdate> replicas);
+  void ApplyUpdate(const PlacementUpdate& update);
   void PauseTick();
   void NotePause();
 
@@ -126,14 +128,14 @@
   std::shared_ptr<const Configuration> configuration_;
   LeaseManager lease_;
   FleetPlacer placer_;
-  // Of the lease's row, as it was read last.
+  // Estimate in the lease row, as last read.
   WeightStoreEstimate inherited_estimate_;
   std::unique_ptr<LoopTimer> store_timer_;
   std::unique_ptr<LoopTimer> report_timer_;
   std::unique_ptr<LoopTimer> placement_timer_;
   std::unique_ptr<LoopTimer> pause_timer_;
   std::unique_ptr<LoopTimer> withdraw_timer_;
-  // Datagram addresses of the other nodes, by name.
+  // Datagram addresses of all nodes, by name.
   std::map<std::string, std::string> peers_;
   std::map<ModelKey, absl::Time> expected_ready_;
   std::map<std::string, int> own_running_reported_;
@@ -141,19 +143,19 @@
   absl::Time report_due_ = absl::InfiniteFuture();
   absl::Time placement_due_ = absl::InfiniteFuture();
   absl::Time last_placement_ = absl::InfinitePast();
-  absl::Time last_load_news_ = absl::InfinitePast();
+  absl::Time last_load_update_ = absl::InfinitePast();
   absl::Time last_tick_;
   std::uint64_t report_number_ = 0;
-  std::uint64_t news_number_ = 0;
-  // Of the holder, as its news tell.
+  std::uint64_t update_number_ = 0;
+  // Datagram address of the lease holder, from the lease row or from its updates.
   std::string holder_address_;
-  // Of the node's own row, as this process wrote it; 0: not known.
+  // Version of this node's row as written by this process; 0 if unknown.
   std::uint64_t own_row_version_ = 0;
   int store_ticks_ = 0;
-  std::uint64_t news_token_seen_ = 0;
-  std::uint64_t news_number_seen_ = 0;
+  std::uint64_t last_update_token_ = 0;
+  std::uint64_t last_update_number_ = 0;
   bool announced_ = false;
-  bool read_under_way_ = false;
+  bool read_in_flight_ = false;
   bool stopped_ = false;
 };
 
--- a/include/hingespan/fleet/fleet_messages.h
+++ b/include/hingespan/fleet/fleet_messages.h
@@ -1,4 +1,4 @@
-// Messages between nodes about demand and replicas, and their compact form.
+// Messages between nodes about demand and replicas, and their encoding.
 #ifndef HINGESPAN_FLEET_FLEET_MESSAGES_H_
 #define HINGESPAN_FLEET_FLEET_MESSAGES_H_
 
@@ -12,16 +12,16 @@
 
 namespace hingespan::gateway {
 
-// What one node's callers ask of one model or adapter.
+// Demand of one node's callers for one model or adapter.
 struct ModelDemand {
   std::string service;
   std::string model;
   std::string adapter;
-  // Requests held at the node for want of a replica with room.
+  // Requests queued at the node because no replica has a free slot.
   int waiting = 0;
   // Requests running at workers.
   int running = 0;
-  // Requests that came since the node's last report, and the tokens of their prompts.
+  // Requests that arrived since the node's last report, and the tokens of their prompts.
   int arrived = 0;
   int arrived_tokens = 0;
 };
@@ -32,57 +32,58 @@
   int running = 0;
 };
 
-// What one node runs at one worker.
+// Load of one node at one worker.
 struct WorkerLoad {
   std::string worker_id;
   int running = 0;
-  // Prompt tokens sent there that have not begun to be answered.
+  // Prompt tokens sent to the worker for which no answer has started.
   int unread_tokens = 0;
-  // Only in reports to the holder.
+  // Set only in reports to the holder.
   std::vector<RunningModel> models;
 };
 
-// From a node to the holder of the placement lease.
+// Report from a node to the holder of the placement lease.
 struct DemandReport {
   std::string node;
   std::uint64_t incarnation = 0;
-  // Rises with each report of the process.
+  // Sequence number; increases with each report of the process.
   std::uint64_t number = 0;
   std::vector<ModelDemand> demands;
   std::vector<WorkerLoad> loads;
-  // Workers that this node could not reach lately, or whose address another worker has.
+  // Workers that this node could not reach recently, or whose address is now used by another
+  // worker.
   std::vector<std::string> unreachable;
 };
 
 enum class ReplicaState { kReady, kLoading, kLeaving };
 
-struct ReplicaNews {
+struct ReplicaUpdate {
   std::string worker_id;
   std::string model;
   std::string adapter;
   ReplicaState state = ReplicaState::kReady;
-  // Of a loading replica: until it is expected to be ready.
+  // Milliseconds until a loading replica is expected to be ready.
   int expected_in_ms = 0;
 };
 
-// From the holder to all nodes: replicas, before the workers' own records tell of them, and what
-// all nodes together run at the workers.
-struct PlacementNews {
+// Update from the holder to all nodes. Carries replica changes before the workers' records show
+// them, and the load of all nodes together at the workers.
+struct PlacementUpdate {
   std::string holder;
-  // Where the holder takes demand reports.
+  // Address at which the holder receives demand reports.
   std::string address;
   std::uint64_t token = 0;
   std::uint64_t number = 0;
-  std::vector<ReplicaNews> replicas;
-  // All workers with load; absent: these news don't tell.
+  std::vector<ReplicaUpdate> replicas;
+  // All workers with load; absent if this update carries no loads.
   std::optional<std::vector<WorkerLoad>> loads;
 };
 
-using FleetMessage = std::variant<DemandReport, PlacementNews>;
+using FleetMessage = std::variant<DemandReport, PlacementUpdate>;
 
-// CBOR.
+// Encodes the message as CBOR.
 std::string EncodeFleetMessage(const FleetMessage& message);
-// Absent when the bytes are no such message.
+// Returns std::nullopt if the bytes are not a valid message.
 std::optional<FleetMessage> DecodeFleetMessage(absl::string_view bytes);
 
 }  // namespace hingespan::gateway
--- a/include/hingespan/fleet/lease_manager.h
+++ b/include/hingespan/fleet/lease_manager.h
@@ -1,9 +1,9 @@
 // Decides which node holds the placement lease: a row in the shared store that the holder renews.
 //
-// States: observing (another node holds it, or nobody), holding, fenced (held, but a worker has
-// seen a higher token; it never orders with that token again). The fencing token is the store's
-// version of the transaction that acquired the lease: versions only rise, so tokens do too, and no
-// two nodes share one.
+// States: observing (another node holds the lease, or nobody does), holding, and fenced (the lease
+// was held, but a worker has seen a higher token; this node never orders with its token again). The
+// fencing token is the store's version of the transaction that acquired the lease. Versions only
+// increase, so tokens increase too, and no two nodes share one.
 #ifndef HINGESPAN_FLEET_LEASE_MANAGER_H_
 #define HINGESPAN_FLEET_LEASE_MANAGER_H_
 
@@ -16,16 +16,17 @@
 
 namespace hingespan::gateway {
 
-// What the lease row says.
+// Contents of the lease row.
 struct LeaseRecord {
   std::string holder;
-  // Of the holder's process; a restarted process is another holder on the same machine.
+  // Incarnation of the holder's process. A restarted process is a different holder on the same
+  // machine.
   std::uint64_t incarnation = 0;
-  // Where the holder takes demand reports, "ip:port".
+  // Address at which the holder receives demand reports, "ip:port".
   std::string address;
-  // 0 in the write that acquires: the token is then the row's version.
+  // 0 in the write that acquires the lease; the token is then the version of the row.
   std::uint64_t token = 0;
-  // What the holder has learned of the weight store, for its successor.
+  // The holder's estimate of the weight store, for its successor.
   WeightStoreEstimate weight_store;
 };
 
@@ -33,71 +34,75 @@
   std::string node;
   std::uint64_t incarnation = 0;
   std::string address;
-  // A lease whose row has not changed for this long has ended.
+  // A lease ends when its row has not changed for this long.
   absl::Duration duration = absl::Seconds(3);
   // Added to `duration` before another machine's lease is taken over.
   absl::Duration slack = absl::Milliseconds(400);
-  // The holder renews this often.
+  // Interval at which the holder renews the lease.
   absl::Duration renew_interval = absl::Seconds(1);
-  // Whether workers refuse a token below the highest that they have seen. Where they don't, only
-  // time keeps the orders of two holders apart.
+  // True if workers refuse a token below the highest that they have seen. If they don't, only time
+  // separates the orders of two holders.
   bool workers_check_tokens = true;
-  // A holder whose renewals get no answer goes on ordering for this long, where workers check
-  // tokens; nobody can take over while the store answers nobody, and a token seen later is refused.
+  // If workers check tokens: time for which a holder whose renewals get no answer keeps ordering.
+  // This is safe because nobody can take over while the store answers nobody, and a token is
+  // refused once a worker has seen a higher one.
   absl::Duration unconfirmed_limit = absl::Seconds(10);
-  // Where they don't: for this part of `duration`. Two renewals fall into it, so that a single lost
-  // answer stops no orders.
-  double unchecked_limit_part = 2.0 / 3;
-  // The longest from a decision to order until the worker has the order or never gets it: the
-  // order's time limit, and its way.
+  // If workers don't check tokens: the same limit as a fraction of `duration`. It covers two
+  // renewals, so that a single lost answer doesn't stop orders.
+  double unchecked_limit_fraction = 2.0 / 3;
+  // Upper bound on the time from the decision to order until the worker has received the order or
+  // never will: the order's timeout plus its network delay.
   absl::Duration order_transit = absl::Milliseconds(500);
 
-  // How long a holder may order after it sent the last write that was confirmed.
+  // Returns the time for which a holder may order after it sent the last confirmed write.
   absl::Duration OrderLimit() const;
-  // How long another machine's row must have been seen unchanged before it is taken over. Where
-  // tokens are not checked, the former holder's last order is by then `duration` old.
+  // Returns the time for which another machine's row must be unchanged before it is taken over. If
+  // workers don't check tokens, the former holder's last order is then at least `duration` old.
   absl::Duration TakeoverWait() const;
-  // The same for the row of an earlier process on this machine: it has ended, its orders may be
-  // under way.
+  // Returns the same time for a row of an earlier process on this machine. That process has ended,
+  // but its orders may still be in flight.
   absl::Duration RestartWait() const;
 };
 
-// Pure: the time and the store's answers are arguments. Not thread-safe.
+// Performs no I/O: the time and the store's answers are passed as arguments. Not thread-safe.
 class LeaseManager {
  public:
   struct Write {
-    // The lease row must have this version; 0: it must not exist.
+    // Version that the lease row must have; 0 if it must not exist.
     std::uint64_t condition_version = 0;
     LeaseRecord record;
   };
 
   explicit LeaseManager(LeaseSettings settings) : settings_(std::move(settings)) {}
 
-  // The row as it was read; absent: there is none.
+  // Takes the row as read; std::nullopt if there is none.
   void OnRead(const std::optional<LeaseRecord>& record, std::uint64_t row_version, absl::Time now);
   void OnReadFailed(absl::Time now);
-  // A write that is due: acquisition or renewal. One at a time: the caller reports its end.
+  // Returns an acquisition or renewal that is due. Only one write is in flight at a time: the
+  // caller must report its outcome.
   std::optional<Write> NextWrite(absl::Time now);
   void OnCommitted(std::uint64_t row_version, absl::Time now);
   void OnConflict(absl::Time now);
-  // No answer, or a refusal; the write may still happen.
+  // Called after a write without an answer or with an error; the write may still take effect.
   void OnCommitFailed(absl::Time now);
-  // A worker refused the token since it has seen a higher one.
+  // Called when a worker refused the token because it has seen a higher one.
   void OnFenced(absl::Time now);
-  // The process was not running for a while: the lease counts again once it is confirmed anew.
+  // Called after the process was paused: the lease is valid again only after the next confirmed
+  // write.
   void OnPaused();
-  // Other nodes are better suited: this one lets them come first by so much when it could acquire.
+  // Sets an additional wait before acquiring the lease, during which better suited nodes can
+  // acquire it.
   void SetExtraWait(absl::Duration wait) { extra_wait_ = wait; }
-  // The node stops: it neither acquires nor renews any more.
+  // Stops acquiring and renewing the lease.
   void Resign() { resigned_ = true; }
 
-  // Whether this node may order now.
+  // Returns true if this node may order now.
   bool MayOrder(absl::Time now) const;
   bool holding() const { return holding_; }
   std::uint64_t token() const { return token_; }
-  // Of the last row seen; absent: none.
+  // Contents of the last row read; std::nullopt if there is none.
   const std::optional<LeaseRecord>& record() const { return record_; }
-  // Whether the row should be read before anything else.
+  // True if the row should be read before the next write.
   bool needs_read() const { return needs_read_; }
 
  private:
@@ -108,12 +113,12 @@
   std::optional<LeaseRecord> record_;
   std::uint64_t row_version_ = 0;
   bool row_known_ = false;
-  // Since when the row has been seen unchanged, without a failed read between.
+  // Time since which the row has been seen unchanged, without a failed read in between.
   absl::Time unchanged_since_ = absl::InfiniteFuture();
   bool needs_read_ = true;
-  bool write_under_way_ = false;
+  bool write_in_flight_ = false;
   absl::Time write_sent_;
-  // The write under way renews; else it acquires.
+  // True if the write in flight renews the lease, false if it acquires it.
   bool write_renews_ = false;
   bool holding_ = false;
   bool confirmed_since_pause_ = true;
@@ -124,7 +129,8 @@
   std::uint64_t fenced_token_ = 0;
   absl::Time confirmed_at_ = absl::InfinitePast();
   absl::Time last_attempt_ = absl::InfinitePast();
-  // The last write got no answer: the next one does not wait for the whole interval.
+  // True if the last write got no answer; the next one is then sent after a fraction of the
+  // interval.
   bool last_failed_ = false;
 };
 
--- a/include/hingespan/fleet/peer_link.h
+++ b/include/hingespan/fleet/peer_link.h
@@ -1,4 +1,5 @@
-// Datagrams between nodes. Lost, late and repeated datagrams are the receivers' business.
+// Sends and receives datagrams between nodes. Receivers must handle lost, late and duplicate
+// datagrams.
 #ifndef HINGESPAN_FLEET_PEER_LINK_H_
 #define HINGESPAN_FLEET_PEER_LINK_H_
 
@@ -12,17 +13,17 @@
 
 namespace hingespan::gateway {
 
-// Not thread-safe; lives on its loop.
+// Not thread-safe; runs on the thread of its event loop.
 class PeerLink {
  public:
   using Receiver = std::function<void(absl::string_view bytes)>;
 
   PeerLink(EventLoop* loop, Receiver receiver);
   ~PeerLink();
-  // "ip:port"; port 0 lets the kernel choose.
+  // Binds to "ip:port"; port 0 lets the kernel choose a port.
   std::error_code Listen(const std::string& address);
   std::string address() const;
-  // Sends at once or not at all.
+  // Sends without waiting; drops the datagram if it can't be sent.
   void Send(const std::string& address, absl::string_view bytes);
 
  private:
--- a/include/hingespan/fleet/shared_reading.h
+++ b/include/hingespan/fleet/shared_reading.h
@@ -1,6 +1,6 @@
-// Reading of the shared store for a large fleet: one node of each zone reads it, the others read
-// from that one, or from its substitute when it fails. A node that gets no fresh answer from either
-// reads by itself.
+// Reads the shared store on behalf of a large fleet. One node of each zone reads the store, and the
+// others read from that node or, when it fails, from its substitute. A node that gets no fresh
+// answer from either reads the store itself.
 #ifndef HINGESPAN_FLEET_SHARED_READING_H_
 #define HINGESPAN_FLEET_SHARED_READING_H_
 
@@ -24,52 +24,54 @@
 struct SharedReadingSettings {
   std::string node;
   std::string zone;
-  // Zones with no more nodes than this have no readers: each node reads by itself.
-  std::size_t most_nodes_without_readers = 6;
-  // The first reads; the next takes its place while it fails.
-  std::size_t readers_each_zone = 2;
-  // How long a reader holds a question for changes, and what is added to it before it is given up.
+  // Zones with at most this many nodes have no readers: each node reads the store itself.
+  std::size_t max_nodes_without_readers = 6;
+  // Number of reader candidates in each zone. The first reads; the next replaces it while it fails.
+  std::size_t readers_per_zone = 2;
+  // Time for which a reader holds a watch request open, and the additional time after which the
+  // requester gives up.
   absl::Duration peer_wait = absl::Seconds(1);
   absl::Duration peer_slack = absl::Milliseconds(400);
-  // How long a reader's own question to the store waits: its copy is no older than that.
+  // Timeout of a reader's own watch on the store, which bounds the age of its copy.
   absl::Duration reader_wait = absl::Seconds(1.5);
-  // A reader asks for changes of a table this long after the last ones came: each question is
-  // priced.
+  // Delay after the last changes of a table before a reader watches it again. Each call to the
+  // store has a price.
   absl::Duration reader_pause = absl::Milliseconds(400);
-  // A copy that the store has not confirmed for this long is not fresh.
+  // Age of the last confirmation by the store above which a copy is stale.
   absl::Duration freshness = absl::Seconds(2.2);
-  // A reader that failed is not asked for this long.
+  // Time for which a reader that failed is not asked again.
   absl::Duration avoid_reader = absl::Seconds(4);
-  // Changes that come within this are told together.
-  absl::Duration gather = absl::Milliseconds(150);
+  // Changes that arrive within this interval are sent together.
+  absl::Duration batch_interval = absl::Milliseconds(150);
 };
 
-// Another node, as its row tells.
+// Another node, as described by its row.
 struct FleetNode {
   std::string name;
   std::string zone;
-  // "ip:port" where it serves its copies.
+  // Address at which it serves its copies, "ip:port".
   std::string address;
-  // Of its link. A configuration goes from a reader to many nodes at once: wide links first.
+  // Bandwidth of its link. Nodes with wide links become readers first, since a reader sends each
+  // configuration to many nodes at once.
   double link_mbps = 0;
 };
 
-// Not thread-safe; lives on its loop.
+// Not thread-safe; runs on the thread of its event loop.
 class SharedReading : public SharedStore {
  public:
   SharedReading(EventLoop* loop, SharedStore* store, HttpClient* client, DecisionLog* log,
                 SharedReadingSettings settings);
   ~SharedReading() override;
 
-  // Copies of this table are kept while this node is a reader.
+  // Enables copies of this table, which are kept while this node is a reader.
   void Share(const std::string& table, TableCopy::SameMeaning same_meaning);
-  // Serves copies to other nodes on this address.
+  // Starts serving copies to other nodes at this address.
   std::error_code Listen(const std::string& address);
   std::string address() const { return server_.address(); }
   void SetNodes(const std::vector<FleetNode>& nodes);
-  // Whether this node reads the store for itself.
+  // True if this node reads the store itself.
   bool reads_itself() const { return reads_itself_; }
-  // Whether others read from this node.
+  // True if other nodes read from this node.
   bool reads_for_others() const { return reads_itself_ && !readers_.empty(); }
 
   void Read(const std::string& table, RowsCallback callback) override;
@@ -79,23 +81,23 @@
               CommitCallback callback) override;
 
  private:
-  struct Question;
+  struct PendingWatch;
   class PeerCall;
 
   void OnRequest(const std::shared_ptr<ServerExchange>& exchange);
-  void Answer(const Question& question);
-  void AnswerWaiting(const std::string& table);
+  void Answer(const PendingWatch& watch);
+  void AnswerPendingWatches(const std::string& table);
   void ScheduleAnswers(const std::string& table);
   void ReadDirectly(const std::string& table, RowsCallback callback);
   void WatchDirectly(const std::string& table, std::uint64_t after, absl::Duration wait,
                      RowsCallback callback);
-  // The same for the others' sake: not before the pause is over.
+  // Watches the store as a reader: like WatchDirectly, but not before `reader_pause` is over.
   void WatchAsReader(const std::string& table, std::uint64_t after, RowsCallback callback);
-  // What another node's copy told goes into this node's as well, so that it has no gaps when this
+  // Applies an answer of another node's copy to this node's copy, so that it has no gaps when this
   // node becomes a reader.
-  void TakePeerAnswer(const std::string& table, const StoreRows& rows, absl::Duration age,
-                      bool snapshot);
-  // Null: none that may be asked.
+  void ApplyPeerAnswer(const std::string& table, const StoreRows& rows, absl::Duration age,
+                       bool snapshot);
+  // Returns the reader to ask; null if there is none.
   const FleetNode* ChooseReader() const;
   void Avoid(const std::string& node, const std::string& why);
 
@@ -108,10 +110,11 @@
   std::map<std::string, TableCopy> copies_;
   std::vector<FleetNode> readers_;
   std::map<std::string, absl::Time> avoided_until_;
-  std::list<Question> questions_;
-  std::map<std::string, std::unique_ptr<LoopTimer>> gather_timers_;
-  std::map<std::string, bool> gathering_;
-  // When changes of a table came last, and the questions that wait for the pause to be over.
+  std::list<PendingWatch> pending_watches_;
+  std::map<std::string, std::unique_ptr<LoopTimer>> batch_timers_;
+  std::map<std::string, bool> batching_;
+  // Time of the last changes of each table, and the timers of watches that wait for `reader_pause`
+  // to end.
   std::map<std::string, absl::Time> changed_at_;
   std::map<std::string, std::unique_ptr<LoopTimer>> pause_timers_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/fleet/cbor_reader.h
+++ b/src/fleet/cbor_reader.h
@@ -1,4 +1,4 @@
-// Reads CBOR that came from the network.
+// Parses CBOR received from the network.
 #ifndef HINGESPAN_SRC_FLEET_CBOR_READER_H_
 #define HINGESPAN_SRC_FLEET_CBOR_READER_H_
 
@@ -8,8 +8,8 @@
 
 namespace hingespan::gateway {
 
-// A discarded value when the bytes are no CBOR. The library throws for some of them (a length
-// beyond all memory) even where it is asked not to.
+// Returns a discarded value if the bytes are not valid CBOR. The library throws for some inputs
+// (such as a length beyond the available memory) even if exceptions are disabled.
 inline nlohmann::json ReadCbor(absl::string_view bytes) {
   try {
     return nlohmann::json::from_cbor(bytes.begin(), bytes.end(), true, false);
--- a/src/fleet/fleet_coordinator.cc
+++ b/src/fleet/fleet_coordinator.cc
@@ -14,8 +14,8 @@
 constexpr char kLeaseKey[] = "lease/placement";
 constexpr absl::string_view kNodePrefix = "node/";
 constexpr absl::Duration kPauseTick = absl::Milliseconds(400);
-// After a removal of the node's row that may not have been done.
-constexpr absl::Duration kWithdrawAgain = absl::Milliseconds(500);
+// Delay before the removal of the node's row is retried if its outcome is unknown.
+constexpr absl::Duration kRemovalRetryDelay = absl::Milliseconds(500);
 std::string EncodeLease(const LeaseRecord& record) {
   return Json{{"holder", record.holder},
               {"incarnation", record.incarnation},
@@ -96,7 +96,7 @@
   if (!announced_ && !stopped_) {
     AnnounceNode();
   }
-  // A holder learns all it needs from its renewals; the others read the row.
+  // The holder's renewals tell it all it needs; other nodes read the row.
   if (lease_.holding() && !lease_.needs_read() && announced_) {
     WriteLease();
     const bool due = store_ticks_ % settings_.renewals_between_reads == 0;
@@ -108,13 +108,13 @@
 }
 
 absl::Duration FleetCoordinator::StoreInterval() const {
-  // At first the others' rows still come in.
+  // The rows of other nodes are still being written during the first ticks.
   constexpr int kFirstTicks = 3;
   if (parts_.reads_store() || store_ticks_ < kFirstTicks || lease_.holding()) {
     return settings_.store_interval;
   }
   const std::size_t own = std::hash<std::string>{}(settings_.node);
-  // Spread over the interval by name.
+  // Spreads the nodes' reads over the interval by name.
   const double part = static_cast<double>(own % 1000) / 1000.0;
   return settings_.relaxed_store_interval * (0.75 + 0.5 * part);
 }
@@ -147,12 +147,13 @@
     return;
   }
   const std::string key = absl::StrCat(kNodePrefix, settings_.node);
-  // A removal without an answer may be done when the next process has announced itself.
+  // The row version is a condition, as a removal without an answer may take effect after the next
+  // process has announced itself.
   parts_.store->Commit(
       {{settings_.table, key, own_row_version_}}, {{settings_.table, key, std::nullopt}},
       [this](Result<std::uint64_t> result) {
         if (!result.ok() && result.error() != make_error_code(Error::kConflict)) {
-          withdraw_timer_->Set(parts_.loop->Now() + kWithdrawAgain, [this] { WithdrawNode(); });
+          withdraw_timer_->Set(parts_.loop->Now() + kRemovalRetryDelay, [this] { WithdrawNode(); });
         }
       });
 }
@@ -175,26 +176,27 @@
 }
 
 void FleetCoordinator::ReadTable() {
-  if (read_under_way_) {
+  if (read_in_flight_) {
     return;
   }
-  read_under_way_ = true;
-  parts_.store->Read(settings_.table, [this, asked = parts_.loop->Now()](Result<StoreRows> result) {
-    read_under_way_ = false;
-    const absl::Time now = parts_.loop->Now();
-    if (!result.ok()) {
-      lease_.OnReadFailed(now);
-      return;
-    }
-    OnTable(*result, asked);
-    // At the first look the others' rows are not there yet.
-    if (store_ticks_ > 1 || lease_.record().has_value()) {
-      WriteLease();
-    }
-  });
+  read_in_flight_ = true;
+  parts_.store->Read(settings_.table,
+                     [this, read_started = parts_.loop->Now()](Result<StoreRows> result) {
+                       read_in_flight_ = false;
+                       const absl::Time now = parts_.loop->Now();
+                       if (!result.ok()) {
+                         lease_.OnReadFailed(now);
+                         return;
+                       }
+                       OnTable(*result, read_started);
+                       // At the first read the rows of other nodes may be missing.
+                       if (store_ticks_ > 1 || lease_.record().has_value()) {
+                         WriteLease();
+                       }
+                     });
 }
 
-void FleetCoordinator::OnTable(const StoreRows& rows, absl::Time asked) {
+void FleetCoordinator::OnTable(const StoreRows& rows, absl::Time read_started) {
   CheckOwnRow(rows);
   std::optional<LeaseRecord> lease;
   std::uint64_t lease_version = 0;
@@ -218,7 +220,7 @@
     }
   }
   peers_ = std::move(peers);
-  parts_.on_nodes(nodes, asked);
+  parts_.on_nodes(nodes, read_started);
   const bool wider = std::any_of(nodes.begin(), nodes.end(), [this](const FleetNode& node) {
     return node.link_mbps > settings_.link_mbps;
   });
@@ -276,9 +278,10 @@
     parts_.log->Write(LogLevel::kInfo, "lease_acquired",
                       {{"token", absl::StrCat(lease_.token())},
                        {"loads_at_once", absl::StrCat(placer_.weight_store().estimate().limit)}});
-    // The other nodes' reports have gone to the former holder.
-    last_load_news_ = now + settings_.report_interval;
-    SendNews({});
+    // The other nodes have sent their reports to the former holder, so the first update carries no
+    // loads.
+    last_load_update_ = now + settings_.report_interval;
+    SendUpdates({});
     ScheduleReport(absl::ZeroDuration());
     SchedulePlacement(now);
     return;
@@ -352,16 +355,16 @@
     }
     return;
   }
-  const auto& news = std::get<PlacementNews>(*message);
-  const bool older = news.token < news_token_seen_ ||
-                     (news.token == news_token_seen_ && news.number <= news_number_seen_);
+  const auto& update = std::get<PlacementUpdate>(*message);
+  const bool older = update.token < last_update_token_ ||
+                     (update.token == last_update_token_ && update.number <= last_update_number_);
   if (older) {
     return;
   }
-  news_token_seen_ = news.token;
-  news_number_seen_ = news.number;
-  holder_address_ = news.address;
-  ApplyNews(news);
+  last_update_token_ = update.token;
+  last_update_number_ = update.number;
+  holder_address_ = update.address;
+  ApplyUpdate(update);
 }
 
 }  // namespace hingespan::gateway
--- a/src/fleet/fleet_coordinator_placement.cc
+++ b/src/fleet/fleet_coordinator_placement.cc
@@ -1,4 +1,4 @@
-// The coordinator's part as holder of the lease: orders, and news of replicas.
+// The coordinator's duties as lease holder: sends orders and replica updates.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -10,11 +10,11 @@
 namespace hingespan::gateway {
 namespace {
 
-// News holds until the worker's own record should tell the same.
-constexpr absl::Duration kNewsLifetime = absl::Seconds(3);
+// Lifetime of an update; by then the worker's own record should show the change.
+constexpr absl::Duration kUpdateLifetime = absl::Seconds(3);
 constexpr absl::Duration kExpectedSlack = absl::Seconds(3);
-// Replicas named in one datagram.
-constexpr std::size_t kMostReplicasInNews = 40;
+// Maximum number of replicas in one datagram.
+constexpr std::size_t kMaxReplicasPerUpdate = 40;
 absl::string_view OutcomeName(OrderOutcome outcome) {
   switch (outcome) {
     case OrderOutcome::kAccepted:
@@ -35,31 +35,31 @@
 
 }  // namespace
 
-absl::Duration FleetCoordinator::LoadNewsInterval() const {
-  return settings_.load_news_interval +
-         settings_.load_news_each_node * static_cast<double>(peers_.size());
+absl::Duration FleetCoordinator::LoadUpdateInterval() const {
+  return settings_.load_update_interval +
+         settings_.load_update_interval_per_node * static_cast<double>(peers_.size());
 }
 
-void FleetCoordinator::ApplyNews(const PlacementNews& news) {
+void FleetCoordinator::ApplyUpdate(const PlacementUpdate& update) {
   const absl::Time now = parts_.loop->Now();
-  for (const ReplicaNews& replica : news.replicas) {
+  for (const ReplicaUpdate& replica : update.replicas) {
     const ModelKey key{replica.model, replica.adapter};
     switch (replica.state) {
       case ReplicaState::kReady:
-        parts_.workers->NoteReplica(replica.worker_id, key, true, now + kNewsLifetime);
+        parts_.workers->NoteReplica(replica.worker_id, key, true, now + kUpdateLifetime);
         expected_ready_.erase(key);
         break;
       case ReplicaState::kLeaving:
-        parts_.workers->NoteReplica(replica.worker_id, key, false, now + kNewsLifetime);
+        parts_.workers->NoteReplica(replica.worker_id, key, false, now + kUpdateLifetime);
         break;
       case ReplicaState::kLoading:
         expected_ready_[key] = now + absl::Milliseconds(replica.expected_in_ms);
         break;
     }
   }
-  if (news.loads.has_value()) {
+  if (update.loads.has_value()) {
     std::map<std::string, PeersLoad> loads;
-    for (const WorkerLoad& load : *news.loads) {
+    for (const WorkerLoad& load : *update.loads) {
       loads[load.worker_id] = {
           std::max(0, load.running - own_running_reported_[load.worker_id]),
           std::max(0, load.unread_tokens - own_tokens_reported_[load.worker_id])};
@@ -78,8 +78,8 @@
 }
 
 void FleetCoordinator::SchedulePlacement(absl::Time when) {
-  // Reports of many nodes come close together: one look serves them all.
-  when = std::max(when, last_placement_ + settings_.least_placement_interval);
+  // Reports of many nodes arrive close together, so one run handles them all.
+  when = std::max(when, last_placement_ + settings_.min_placement_interval);
   if (when >= placement_due_) {
     return;
   }
@@ -92,7 +92,7 @@
 
 void FleetCoordinator::RunPlacement() {
   last_placement_ = parts_.loop->Now();
-  // After a pause this may be called before the tick that looks for it.
+  // After a pause this may run before PauseTick has detected it.
   NotePause();
   const absl::Time now = parts_.loop->Now();
   if (!lease_.holding() || configuration_ == nullptr) {
@@ -103,7 +103,7 @@
          placer_.Plan(*configuration_, parts_.workers->workers(), now)) {
       SendOrder(planned);
     }
-    for (const std::string& id : placer_.WorkersToAsk(now)) {
+    for (const std::string& id : placer_.WorkersToPoll(now)) {
       const WorkerState* const worker = parts_.workers->Find(id);
       if (worker == nullptr) {
         continue;
@@ -117,9 +117,9 @@
                                  });
     }
   }
-  std::vector<ReplicaNews> news = placer_.TakeNews(now);
-  if (!news.empty() || now - last_load_news_ >= LoadNewsInterval()) {
-    SendNews(std::move(news));
+  std::vector<ReplicaUpdate> updates = placer_.TakeUpdates(now);
+  if (!updates.empty() || now - last_load_update_ >= LoadUpdateInterval()) {
+    SendUpdates(std::move(updates));
   }
   const absl::Time due = std::min(placer_.NextDue(now), now + absl::Milliseconds(500));
   SchedulePlacement(std::max(due, now + absl::Milliseconds(1)));
@@ -170,33 +170,33 @@
   });
 }
 
-void FleetCoordinator::SendNews(std::vector<ReplicaNews> replicas) {
+void FleetCoordinator::SendUpdates(std::vector<ReplicaUpdate> replicas) {
   const absl::Time now = parts_.loop->Now();
-  const bool with_loads = now - last_load_news_ >= LoadNewsInterval();
+  const bool with_loads = now - last_load_update_ >= LoadUpdateInterval();
   if (with_loads) {
-    last_load_news_ = now;
+    last_load_update_ = now;
   }
   std::size_t begin = 0;
   do {
-    PlacementNews news;
-    news.holder = settings_.node;
-    news.address = settings_.address;
-    news.token = lease_.token();
-    news.number = ++news_number_;
-    const std::size_t end = std::min(replicas.size(), begin + kMostReplicasInNews);
-    news.replicas.assign(replicas.begin() + static_cast<std::ptrdiff_t>(begin),
-                         replicas.begin() + static_cast<std::ptrdiff_t>(end));
+    PlacementUpdate update;
+    update.holder = settings_.node;
+    update.address = settings_.address;
+    update.token = lease_.token();
+    update.number = ++update_number_;
+    const std::size_t end = std::min(replicas.size(), begin + kMaxReplicasPerUpdate);
+    update.replicas.assign(replicas.begin() + static_cast<std::ptrdiff_t>(begin),
+                           replicas.begin() + static_cast<std::ptrdiff_t>(end));
     begin = end;
     if (with_loads && begin >= replicas.size()) {
-      news.loads = placer_.TotalLoads(now);
+      update.loads = placer_.TotalLoads(now);
     }
-    const std::string bytes = EncodeFleetMessage(news);
+    const std::string bytes = EncodeFleetMessage(update);
     for (const auto& [node, address] : peers_) {
       if (node != settings_.node) {
         parts_.send(address, bytes);
       }
     }
-    ApplyNews(news);
+    ApplyUpdate(update);
   } while (begin < replicas.size());
 }
 
--- a/src/fleet/fleet_messages.cc
+++ b/src/fleet/fleet_messages.cc
@@ -10,10 +10,10 @@
 
 using Json = nlohmann::json;
 
-// Lists in place of objects: field names would be most of a datagram. The order is the contract;
-// the first entry names the kind of message.
+// Messages are encoded as lists, since field names would take up most of a datagram. The order of
+// entries is the protocol; the first entry is the message type.
 constexpr int kDemandReport = 1;
-constexpr int kPlacementNews = 2;
+constexpr int kPlacementUpdate = 2;
 
 Json Encode(const WorkerLoad& load) {
   Json list = Json::array({load.worker_id, load.running, load.unread_tokens});
@@ -75,35 +75,36 @@
   return report;
 }
 
-Json Encode(const PlacementNews& news) {
+Json Encode(const PlacementUpdate& update) {
   Json replicas = Json::array();
-  for (const ReplicaNews& replica : news.replicas) {
+  for (const ReplicaUpdate& replica : update.replicas) {
     replicas.push_back(Json::array({replica.worker_id, replica.model, replica.adapter,
                                     static_cast<int>(replica.state), replica.expected_in_ms}));
   }
-  return Json::array({kPlacementNews, news.holder, news.token, news.number, std::move(replicas),
-                      news.loads.has_value() ? EncodeLoads(*news.loads) : Json(), news.address});
+  return Json::array(
+      {kPlacementUpdate, update.holder, update.token, update.number, std::move(replicas),
+       update.loads.has_value() ? EncodeLoads(*update.loads) : Json(), update.address});
 }
 
-PlacementNews DecodeNews(const Json& json) {
-  PlacementNews news;
-  news.holder = json.at(1).get<std::string>();
-  news.token = json.at(2).get<std::uint64_t>();
-  news.number = json.at(3).get<std::uint64_t>();
+PlacementUpdate DecodeUpdate(const Json& json) {
+  PlacementUpdate update;
+  update.holder = json.at(1).get<std::string>();
+  update.token = json.at(2).get<std::uint64_t>();
+  update.number = json.at(3).get<std::uint64_t>();
   for (const Json& entry : json.at(4)) {
     const int state = entry.at(3).get<int>();
     if (state < 0 || state > static_cast<int>(ReplicaState::kLeaving)) {
       continue;
     }
-    news.replicas.push_back({entry.at(0).get<std::string>(), entry.at(1).get<std::string>(),
-                             entry.at(2).get<std::string>(), static_cast<ReplicaState>(state),
-                             entry.at(4).get<int>()});
+    update.replicas.push_back({entry.at(0).get<std::string>(), entry.at(1).get<std::string>(),
+                               entry.at(2).get<std::string>(), static_cast<ReplicaState>(state),
+                               entry.at(4).get<int>()});
   }
   if (!json.at(5).is_null()) {
-    news.loads = DecodeLoads(json.at(5));
+    update.loads = DecodeLoads(json.at(5));
   }
-  news.address = json.at(6).get<std::string>();
-  return news;
+  update.address = json.at(6).get<std::string>();
+  return update;
 }
 
 }  // namespace
@@ -124,8 +125,8 @@
     switch (json.at(0).get<int>()) {
       case kDemandReport:
         return DecodeReport(json);
-      case kPlacementNews:
-        return DecodeNews(json);
+      case kPlacementUpdate:
+        return DecodeUpdate(json);
       default:
         return std::nullopt;
     }
--- a/src/fleet/fleet_placer.cc
+++ b/src/fleet/fleet_placer.cc
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr absl::Duration kReservation = absl::Seconds(6);
-// Models looked at in one run; the others come with the next.
-constexpr std::size_t kMostWishesAtOnce = 12;
+// Maximum number of models considered in one run; the others follow in the next.
+constexpr std::size_t kMaxCandidatesPerRun = 12;
 constexpr absl::Duration kConcurrencyMemory = absl::Seconds(4);
-// From the order to unload until the load that it makes room for begins.
+// Estimated time from the order to unload until the load that it makes room for begins.
 constexpr absl::Duration kUnloadEstimate = absl::Milliseconds(500);
 
 }  // namespace
@@ -24,9 +24,9 @@
   began_ = now;
   weight_store_.Begin(inherited);
   ledgers_.clear();
-  news_.clear();
-  told_again_.clear();
-  told_expected_.clear();
+  updates_.clear();
+  adapter_update_times_.clear();
+  announced_expectations_.clear();
   copy_pressure_ = 0;
   copy_pressure_updated_ = absl::InfinitePast();
   load_tokens_.clear();
@@ -38,11 +38,11 @@
 
 void FleetPlacer::OnReport(const DemandReport& report, absl::Time now) {
   NodeReport& known = reports_[report.node];
-  // Incarnations are not compared: they come from the time of day, which may have been set back
-  // between two lives of a process.
-  const bool same_life =
+  // Incarnations are not ordered: they come from the wall clock, which may have been set back
+  // between two processes of the node.
+  const bool same_incarnation =
       known.received != absl::Time() && known.report.incarnation == report.incarnation;
-  if (same_life && known.report.number >= report.number) {
+  if (same_incarnation && known.report.number >= report.number) {
     return;
   }
   const double window = absl::ToDoubleSeconds(settings_.rate_window);
@@ -50,9 +50,9 @@
     RateCounter& counter = rates_[{demand.service, ModelKey{demand.model, demand.adapter}}];
     const double age =
         counter.updated == absl::Time() ? 0 : absl::ToDoubleSeconds(now - counter.updated);
-    const double kept = std::exp(-age / window);
-    counter.rate = counter.rate * kept + demand.arrived / window;
-    counter.token_rate = counter.token_rate * kept + demand.arrived_tokens / window;
+    const double decay = std::exp(-age / window);
+    counter.rate = counter.rate * decay + demand.arrived / window;
+    counter.token_rate = counter.token_rate * decay + demand.arrived_tokens / window;
     counter.updated = now;
   }
   known.report = report;
@@ -64,9 +64,9 @@
   const double window = absl::ToDoubleSeconds(settings_.rate_window);
   for (const auto& [key, counter] : rates_) {
     const double age = absl::ToDoubleSeconds(now - counter.updated);
-    const double kept = std::exp(-age / window);
-    totals[key].rate = counter.rate * kept;
-    totals[key].token_rate = counter.token_rate * kept;
+    const double decay = std::exp(-age / window);
+    totals[key].rate = counter.rate * decay;
+    totals[key].token_rate = counter.token_rate * decay;
   }
   for (const auto& [node, known] : reports_) {
     if (now - known.received > settings_.report_lifetime) {
@@ -98,11 +98,11 @@
   if (ledger.model_load.has_value()) {
     models.insert(ledger.model_load->key.model);
   }
-  if (ledger.unanswered.has_value() && ledger.unanswered->kind == OrderKind::kLoad &&
-      ledger.unanswered->adapter.empty()) {
-    models.insert(ledger.unanswered->model);
+  if (ledger.in_flight.has_value() && ledger.in_flight->kind == OrderKind::kLoad &&
+      ledger.in_flight->adapter.empty()) {
+    models.insert(ledger.in_flight->model);
   }
-  const bool makes_room = ledger.unanswered.has_value() || ledger.model_unload.has_value();
+  const bool makes_room = ledger.in_flight.has_value() || ledger.model_unload.has_value();
   if (!ledger.reserved_for.empty() && ledger.reserved_until > now && makes_room) {
     models.insert(ledger.reserved_for);
   }
@@ -174,52 +174,55 @@
   PlanAdapters(service, context);
 }
 
-std::vector<FleetPlacer::Wish> FleetPlacer::Wishes(const Service& service,
-                                                   const PlanContext& context) {
-  std::vector<Wish> wishes;
+std::vector<FleetPlacer::ReplicaCandidate> FleetPlacer::FindCandidates(const Service& service,
+                                                                       const PlanContext& context) {
+  std::vector<ReplicaCandidate> candidates;
   const double spare = 1 - CopyPressure(context.now);
   for (const auto& [name, model] : service.engine->models) {
     if (!context.model_totals.contains({service.name, model.name})) {
       continue;
     }
-    Wish wish{&model, TotalsOfModel(service, model.name, context),
-              CountReplicas(service, model.name, context)};
-    wish.gain = GainOfReplica(service, wish.totals, wish.replicas);
-    wish.gain *= wish.replicas > 0 ? spare : 1;
-    const double wanted = RecentConcurrency(service, model.name, wish.totals, context.now) /
+    ReplicaCandidate candidate{&model, TotalsOfModel(service, model.name, context),
+                               CountReplicas(service, model.name, context)};
+    candidate.gain = GainOfReplica(service, candidate.totals, candidate.replicas);
+    candidate.gain *= candidate.replicas > 0 ? spare : 1;
+    const double wanted = RecentConcurrency(service, model.name, candidate.totals, context.now) /
                           settings_.requests_for_each_replica;
-    const bool first = wish.replicas == 0 && wish.totals.waiting > 0;
-    if (first || (wish.replicas > 0 && wanted * spare > wish.replicas)) {
-      wishes.push_back(wish);
+    const bool first = candidate.replicas == 0 && candidate.totals.waiting > 0;
+    if (first || (candidate.replicas > 0 && wanted * spare > candidate.replicas)) {
+      candidates.push_back(candidate);
     }
   }
-  std::stable_sort(wishes.begin(), wishes.end(),
-                   [](const Wish& left, const Wish& right) { return left.gain > right.gain; });
-  return wishes;
+  std::stable_sort(candidates.begin(), candidates.end(),
+                   [](const ReplicaCandidate& left, const ReplicaCandidate& right) {
+                     return left.gain > right.gain;
+                   });
+  return candidates;
 }
 
 void FleetPlacer::PlanModels(const Service& service, PlanContext* context) {
-  const std::vector<Wish> wishes = Wishes(service, *context);
-  std::vector<Wish> waiting;
-  for (std::size_t index = 0; index < wishes.size(); ++index) {
-    const Wish& wish = wishes[index];
-    const bool planned = index < kMostWishesAtOnce &&
-                         PlanReplica(service, *wish.model, wish.totals, wish.replicas, context);
-    if (!planned && wish.replicas == 0) {
-      waiting.push_back(wish);
+  const std::vector<ReplicaCandidate> candidates = FindCandidates(service, *context);
+  std::vector<ReplicaCandidate> waiting;
+  for (std::size_t index = 0; index < candidates.size(); ++index) {
+    const ReplicaCandidate& candidate = candidates[index];
+    const bool planned =
+        index < kMaxCandidatesPerRun &&
+        PlanReplica(service, *candidate.model, candidate.totals, candidate.replicas, context);
+    if (!planned && candidate.replicas == 0) {
+      waiting.push_back(candidate);
     }
   }
   NoteCopyPressure(waiting, *context);
-  TellExpectedLoads(service, waiting, *context);
+  AnnounceExpectedLoads(service, waiting, *context);
 }
 
 bool FleetPlacer::PlanReplica(const Service& service, const ModelSpecification& model,
                               const ModelTotals& totals, int replicas, PlanContext* context) {
-  const double most_cost = GainOfReplica(service, totals, replicas);
-  const bool store_free = weight_store_.MayBegin(PlannedStoreLoads(context->now),
-                                                 1 - CopyPressure(context->now), context->now);
+  const double max_cost = GainOfReplica(service, totals, replicas);
+  const bool store_has_capacity = weight_store_.MayBegin(
+      PlannedStoreLoads(context->now), 1 - CopyPressure(context->now), context->now);
   const std::optional<Placement> placement =
-      PlaceModel(service, model, most_cost, store_free, context);
+      PlaceModel(service, model, max_cost, store_has_capacity, context);
   if (!placement.has_value()) {
     return false;
   }
@@ -231,11 +234,11 @@
     ledger.reserved_from_store = !local;
     ledger.reserved_until = context->now + kReservation;
     if (replicas == 0) {
-      TellExpected(model.name, context->now + kUnloadEstimate + LoadTime(model, record),
-                   context->now);
+      AnnounceExpected(model.name, context->now + kUnloadEstimate + LoadTime(model, record),
+                       context->now);
     }
-    Order(OrderKind::kUnload, placement->worker_id, placement->victim,
-          absl::StrCat("room for ", model.name), totals, context);
+    AddOrder(OrderKind::kUnload, placement->worker_id, placement->victim,
+             absl::StrCat("room for ", model.name), totals, context);
     return true;
   }
   if (!local && !TakeLoadToken(service, context->now)) {
@@ -243,8 +246,8 @@
   }
   ledgers_[placement->worker_id].reserved_for.clear();
   ordered_loads_[{placement->worker_id, model.name}] = {LoadTime(model, record), !local};
-  Order(OrderKind::kLoad, placement->worker_id, ModelKey{model.name, ""},
-        replicas == 0 ? "first replica" : "further replica", totals, context);
+  AddOrder(OrderKind::kLoad, placement->worker_id, ModelKey{model.name, ""},
+           replicas == 0 ? "first replica" : "further replica", totals, context);
   return true;
 }
 
@@ -259,26 +262,26 @@
       continue;
     }
     if (CountAdapterReplicas(service, model_key, *context) > 0) {
-      TellAdapterAgain(service, model_key, context->now);
+      RepeatAdapterUpdate(service, model_key, context->now);
       continue;
     }
     PlanAdapter(service, *model, model_key, totals, context);
   }
 }
 
-void FleetPlacer::TellAdapterAgain(const Service& service, const ModelKey& key, absl::Time now) {
-  const auto [told, fresh] = told_again_.try_emplace(key, now);
-  // At first the news of a moment ago may still be under way.
-  if (fresh || now - told->second < settings_.repeat_news) {
+void FleetPlacer::RepeatAdapterUpdate(const Service& service, const ModelKey& key, absl::Time now) {
+  const auto [entry, inserted] = adapter_update_times_.try_emplace(key, now);
+  // The first update may still be in flight.
+  if (inserted || now - entry->second < settings_.update_repeat_interval) {
     return;
   }
-  told->second = now;
+  entry->second = now;
   for (const auto& [id, ledger] : ledgers_) {
     const auto model = ledger.models.find(key.model);
     const bool held = ledger.service == service.name && model != ledger.models.end() &&
                       model->second.contains(key.adapter);
-    if (held && !ledger.model_unload.has_value() && !ledger.unanswered.has_value()) {
-      news_.push_back({id, key.model, key.adapter, ReplicaState::kReady, 0});
+    if (held && !ledger.model_unload.has_value() && !ledger.in_flight.has_value()) {
+      updates_.push_back({id, key.model, key.adapter, ReplicaState::kReady, 0});
     }
   }
 }
@@ -291,11 +294,11 @@
     return;
   }
   if (!placement->victim.model.empty()) {
-    Order(OrderKind::kUnload, placement->worker_id, placement->victim,
-          absl::StrCat("room for adapter ", key.adapter), totals, context);
+    AddOrder(OrderKind::kUnload, placement->worker_id, placement->victim,
+             absl::StrCat("room for adapter ", key.adapter), totals, context);
     return;
   }
-  Order(OrderKind::kLoad, placement->worker_id, key, "adapter is waited for", totals, context);
+  AddOrder(OrderKind::kLoad, placement->worker_id, key, "adapter is waited for", totals, context);
 }
 
 double FleetPlacer::RecentConcurrency(const Service& service, const std::string& model,
@@ -328,8 +331,8 @@
     const bool loading = std::any_of(ledger.adapter_loads.begin(), ledger.adapter_loads.end(),
                                      [&](const RunningLoad& load) { return load.key == key; });
     const bool ordered =
-        ledger.unanswered.has_value() && ledger.unanswered->kind == OrderKind::kLoad &&
-        ledger.unanswered->model == key.model && ledger.unanswered->adapter == key.adapter;
+        ledger.in_flight.has_value() && ledger.in_flight->kind == OrderKind::kLoad &&
+        ledger.in_flight->model == key.model && ledger.in_flight->adapter == key.adapter;
     count += held || loading || ordered ? 1 : 0;
   }
   return count;
@@ -341,9 +344,9 @@
     const bool reserved =
         !ledger.reserved_for.empty() && ledger.reserved_until > now && ledger.reserved_from_store;
     bool ordered = false;
-    if (ledger.unanswered.has_value() && ledger.unanswered->kind == OrderKind::kLoad &&
-        ledger.unanswered->adapter.empty()) {
-      const auto load = ordered_loads_.find({id, ledger.unanswered->model});
+    if (ledger.in_flight.has_value() && ledger.in_flight->kind == OrderKind::kLoad &&
+        ledger.in_flight->adapter.empty()) {
+      const auto load = ordered_loads_.find({id, ledger.in_flight->model});
       ordered = load != ordered_loads_.end() && load->second.from_store;
     }
     planned += reserved || ordered ? 1 : 0;
@@ -352,8 +355,8 @@
 }
 
 bool FleetPlacer::TakeLoadToken(const Service& service, absl::Time now) {
-  const double rate = service.engine->loads_per_second * settings_.load_rate_part;
-  const auto [entry, fresh] = load_tokens_updated_.try_emplace(service.name, began_);
+  const double rate = service.engine->loads_per_second * settings_.load_rate_fraction;
+  const auto [entry, inserted] = load_tokens_updated_.try_emplace(service.name, began_);
   double& tokens = load_tokens_.try_emplace(service.name, 0.0).first->second;
   const double elapsed = absl::ToDoubleSeconds(now - entry->second);
   tokens = std::min(settings_.load_burst, tokens + elapsed * rate);
@@ -365,11 +368,11 @@
   return true;
 }
 
-void FleetPlacer::Order(OrderKind kind, const std::string& worker_id, const ModelKey& key,
-                        std::string reason, const ModelTotals& totals, PlanContext* context) {
+void FleetPlacer::AddOrder(OrderKind kind, const std::string& worker_id, const ModelKey& key,
+                           std::string reason, const ModelTotals& totals, PlanContext* context) {
   Ledger& ledger = ledgers_[worker_id];
   if (key.adapter.empty()) {
-    // What is planned next sees this order.
+    // Later decisions of this run take the order into account.
     context->replicas[{ledger.service, key.model}] += kind == OrderKind::kLoad ? 1 : -1;
   }
   PlannedOrder planned;
@@ -383,9 +386,9 @@
   planned.waiting = totals.waiting;
   planned.rate = totals.rate;
   planned.source = SourceOf(planned.order);
-  ledger.unanswered = planned.order;
+  ledger.in_flight = planned.order;
   if (kind == OrderKind::kUnload) {
-    news_.push_back({worker_id, key.model, key.adapter, ReplicaState::kLeaving, 0});
+    updates_.push_back({worker_id, key.model, key.adapter, ReplicaState::kLeaving, 0});
   }
   context->orders.push_back(std::move(planned));
 }
@@ -398,20 +401,20 @@
   return load->second.from_store ? "store" : "copy";
 }
 
-std::vector<ReplicaNews> FleetPlacer::TakeNews(absl::Time now) {
+std::vector<ReplicaUpdate> FleetPlacer::TakeUpdates(absl::Time now) {
   FinishAdapters(now);
-  return std::exchange(news_, {});
+  return std::exchange(updates_, {});
 }
 
 absl::Time FleetPlacer::NextDue(absl::Time now) const {
   absl::Time due = demand_waits_ ? now + absl::Milliseconds(100) : absl::InfiniteFuture();
   for (const auto& [id, ledger] : ledgers_) {
-    due = std::min(due, ledger.ask_at);
+    due = std::min(due, ledger.poll_at);
     if (ledger.model_load.has_value()) {
-      due = std::min(due, ledger.model_load->ask_again);
+      due = std::min(due, ledger.model_load->next_poll);
     }
     if (ledger.model_unload.has_value()) {
-      due = std::min(due, ledger.model_unload->ask_again);
+      due = std::min(due, ledger.model_unload->next_poll);
     }
     for (const RunningLoad& load : ledger.adapter_loads) {
       due = std::min(due, load.expected);
--- a/src/fleet/fleet_placer_choice.cc
+++ b/src/fleet/fleet_placer_choice.cc
@@ -1,4 +1,4 @@
-// Where the placer puts a model or adapter, and what makes room for it.
+// Chooses where a model or adapter is placed, and what is unloaded to make room for it.
 #include <algorithm>
 #include <cmath>
 #include <limits>
@@ -12,19 +12,19 @@
 namespace {
 
 constexpr std::size_t kAdapterLoadsAtOnce = 4;
-// Costs of a placement, in requests that it harms elsewhere.
+// Costs of a placement, in requests that it delays elsewhere.
 constexpr double kEvictionCost = 0.02;
-// For each second that a load takes.
+// Cost per second of load time.
 constexpr double kLoadSecondCost = 0.15;
 constexpr double kBusyWorkerCost = 0.004;
 constexpr double kRunningValue = 0.3;
-// Prompt tokens a second that a replica reads without making its requests late, and the part of its
-// slots that may be taken.
+// Prompt tokens per second that a replica processes without making its requests late, and the
+// fraction of its slots that may be occupied.
 constexpr double kReplicaTokenRate = 9000;
-constexpr double kReplicaSlotPart = 0.6;
-// Seconds until a lack of replicas is mended: noticed, ordered and loaded.
-constexpr double kMendSeconds = 6;
-// What a request that waits adds to the worth of a first and of a further replica.
+constexpr double kReplicaSlotFraction = 0.6;
+// Seconds until a missing replica is noticed, ordered and loaded.
+constexpr double kReplicaRecoverySeconds = 6;
+// Gain per waiting request of a first and of a further replica.
 constexpr double kWaitingGainOfFirst = 2.0;
 constexpr double kWaitingGain = 0.25;
 
@@ -32,7 +32,8 @@
 
 std::optional<FleetPlacer::Placement> FleetPlacer::PlaceModel(const Service& service,
                                                               const ModelSpecification& model,
-                                                              double most_cost, bool store_free,
+                                                              double max_cost,
+                                                              bool store_has_capacity,
                                                               PlanContext* context) const {
   std::optional<Placement> best;
   for (const auto& [id, ledger] : ledgers_) {
@@ -46,7 +47,7 @@
       continue;
     }
     const WorkerState& worker = context->workers->at(id);
-    if (!store_free && !HasCopy(model.name, worker.record)) {
+    if (!store_has_capacity && !HasCopy(model.name, worker.record)) {
       continue;
     }
     Placement placement{id, {}, worker.running * kBusyWorkerCost};
@@ -71,7 +72,7 @@
       placement.cost += least + kEvictionCost;
     }
     const double load_cost = kLoadSecondCost * absl::ToDoubleSeconds(model.load_time);
-    if (placement.cost <= most_cost + load_cost &&
+    if (placement.cost <= max_cost + load_cost &&
         (!best.has_value() || placement.cost < best->cost)) {
       best = placement;
     }
@@ -95,35 +96,35 @@
 
 double FleetPlacer::ReplicasFilled(const Service& service, const ModelTotals& totals) {
   const double by_reading = totals.token_rate / kReplicaTokenRate;
-  const double by_slots = totals.running / std::max(1.0, service.engine->slots * kReplicaSlotPart);
+  const double by_slots =
+      totals.running / std::max(1.0, service.engine->slots * kReplicaSlotFraction);
   return std::max(by_reading, by_slots);
 }
 
-double FleetPlacer::HarmedRequests(const Service& service, const ModelTotals& totals,
-                                   int replicas) {
+double FleetPlacer::LateRequests(const Service& service, const ModelTotals& totals, int replicas) {
   if (replicas == 0) {
-    return totals.rate * kMendSeconds;
+    return totals.rate * kReplicaRecoverySeconds;
   }
   const double filled = ReplicasFilled(service, totals);
-  return filled <= replicas ? 0 : totals.rate * kMendSeconds * (1 - replicas / filled);
+  return filled <= replicas ? 0 : totals.rate * kReplicaRecoverySeconds * (1 - replicas / filled);
 }
 
 double FleetPlacer::GainOfReplica(const Service& service, const ModelTotals& totals, int replicas) {
-  const double fewer_harmed =
-      HarmedRequests(service, totals, replicas) - HarmedRequests(service, totals, replicas + 1);
+  const double fewer_late =
+      LateRequests(service, totals, replicas) - LateRequests(service, totals, replicas + 1);
   if (replicas == 0) {
-    return fewer_harmed + kWaitingGainOfFirst * totals.waiting;
+    return fewer_late + kWaitingGainOfFirst * totals.waiting;
   }
-  return fewer_harmed + kWaitingGain * totals.waiting;
+  return fewer_late + kWaitingGain * totals.waiting;
 }
 
 double FleetPlacer::ReplicaValue(const Service& service, const Ledger& ledger,
                                  const std::string& model, const PlanContext& context) const {
   const ModelTotals totals = TotalsOfModel(service, model, context);
   const int replicas = std::max(1, CountReplicas(service, model, context));
-  const double more_harmed =
-      HarmedRequests(service, totals, replicas - 1) - HarmedRequests(service, totals, replicas);
-  double value = more_harmed + (totals.rate + kRunningValue * totals.running) / replicas;
+  const double more_late =
+      LateRequests(service, totals, replicas - 1) - LateRequests(service, totals, replicas);
+  double value = more_late + (totals.rate + kRunningValue * totals.running) / replicas;
   if (replicas == 1) {
     value += kWaitingGainOfFirst * totals.waiting;
   }
@@ -182,7 +183,7 @@
                                const PlanContext& context) const {
   const Ledger& ledger = ledgers_.at(worker_id);
   const auto worker = context.workers->find(worker_id);
-  return ledger.service == service.name && !ledger.unanswered.has_value() && !ledger.uncertain &&
+  return ledger.service == service.name && !ledger.in_flight.has_value() && !ledger.uncertain &&
          ledger.not_before <= context.now && worker != context.workers->end() &&
          worker->second.avoided_until <= context.now && context.usable.contains(worker_id);
 }
--- a/src/fleet/fleet_placer_ledger.cc
+++ b/src/fleet/fleet_placer_ledger.cc
@@ -1,4 +1,4 @@
-// What the placer knows of each worker: records, orders under way, reports.
+// Maintains the placer's ledgers: worker records, orders in flight and worker reports.
 #include <algorithm>
 #include <cmath>
 #include <limits>
@@ -11,22 +11,23 @@
 namespace hingespan::gateway {
 namespace {
 
-constexpr absl::Duration kAskAgain = absl::Milliseconds(300);
-constexpr absl::Duration kAskAfterConflict = absl::Milliseconds(150);
-constexpr absl::Duration kAskAfterSilence = absl::Milliseconds(300);
-// A load that is late is expected this much later, again and again.
+constexpr absl::Duration kPollInterval = absl::Milliseconds(300);
+constexpr absl::Duration kPollDelayAfterConflict = absl::Milliseconds(150);
+constexpr absl::Duration kPollDelayAfterTimeout = absl::Milliseconds(300);
+// Step by which the expected end of an overdue load is postponed, repeatedly.
 constexpr absl::Duration kLoadOverdueStep = absl::Milliseconds(700);
 constexpr absl::Duration kUnloadTime = absl::Milliseconds(250);
 constexpr absl::Duration kAdapterLoadTime = absl::Milliseconds(30);
-constexpr absl::Duration kAfterRefusal = absl::Seconds(1);
-// An unload that is this much late is asked for anew.
-constexpr absl::Duration kUnloadOverdue = absl::Seconds(12);
-// A worker that is not busy this long after a load was to end has lost it.
-constexpr absl::Duration kLoadLostAfter = absl::Seconds(2);
+constexpr absl::Duration kRefusalBackoff = absl::Seconds(1);
+// Time after the expected end of an unload at which the worker's state counts as unknown and is
+// queried again.
+constexpr absl::Duration kUnloadOverdueTimeout = absl::Seconds(12);
+// Time after the expected end of a load at which a worker that is not busy has lost it.
+constexpr absl::Duration kLoadLostTimeout = absl::Seconds(2);
 
 }  // namespace
 
-void FleetPlacer::TakeRecord(const WorkerState& worker, absl::Time now, Ledger* ledger) {
+void FleetPlacer::ApplyRecord(const WorkerState& worker, absl::Time now, Ledger* ledger) {
   if (worker.row_version == ledger->row_version) {
     return;
   }
@@ -35,8 +36,8 @@
     ledger->models = worker.record.models;
     return;
   }
-  // A record may be old, e.g. written before an outage of the store; orders and reports tell more.
-  // But one that differs is a reason to ask.
+  // A record may be stale, for example written before an outage of the store, so orders and reports
+  // take precedence. A record that differs triggers a new report.
   const auto same_model = [](const auto& left, const auto& right) {
     return left.first == right.first;
   };
@@ -44,7 +45,7 @@
       std::equal(ledger->models.begin(), ledger->models.end(), worker.record.models.begin(),
                  worker.record.models.end(), same_model);
   if (!same) {
-    ledger->ask_at = std::min(ledger->ask_at, now);
+    ledger->poll_at = std::min(ledger->poll_at, now);
   }
 }
 
@@ -60,7 +61,7 @@
   }
   int unknown_loads = 0;
   for (const auto& [id, ledger] : ledgers_) {
-    unknown_loads += ledger.busy_with_unknown ? 1 : 0;
+    unknown_loads += ledger.busy_with_unknown_order ? 1 : 0;
   }
   weight_store_.SetOtherLoads(unknown_loads, now);
   for (const auto& [id, worker] : workers) {
@@ -70,8 +71,8 @@
     }
     Ledger& ledger = ledgers_[id];
     ledger.service = worker.record.service;
-    if (!ledger.unanswered.has_value()) {
-      TakeRecord(worker, now, &ledger);
+    if (!ledger.in_flight.has_value()) {
+      ApplyRecord(worker, now, &ledger);
       FinishLoads(id, &ledger, now);
     }
   }
@@ -84,7 +85,7 @@
       ledger->model_load.reset();
       weight_store_.LoadEnded(worker_id, now);
       ledger->loaded_at[key] = now;
-      news_.push_back({worker_id, key.model, "", ReplicaState::kReady, 0});
+      updates_.push_back({worker_id, key.model, "", ReplicaState::kReady, 0});
     }
   }
 }
@@ -94,16 +95,16 @@
     return;
   }
   const std::string& model = ledger->model_unload->key.model;
-  // The model is out of the lists as soon as the order is taken; its memory is free only once the
-  // worker isn't busy any more, since its runs are ended first.
+  // The model leaves the lists as soon as the order is accepted. Its memory is free only when the
+  // worker is no longer busy, since the model's requests are ended first.
   if (!report.busy && !ledger->models.contains(model)) {
     ledger->model_unload.reset();
     return;
   }
-  if (now > ledger->model_unload->expected + kUnloadOverdue) {
+  if (now > ledger->model_unload->expected + kUnloadOverdueTimeout) {
     ledger->model_unload.reset();
     ledger->uncertain = true;
-    ledger->ask_at = now + kAskAgain;
+    ledger->poll_at = now + kPollInterval;
   }
 }
 
@@ -116,13 +117,13 @@
       }
       ledger.models[load->key.model].insert(load->key.adapter);
       ledger.loaded_at[load->key] = now;
-      news_.push_back({id, load->key.model, load->key.adapter, ReplicaState::kReady, 0});
+      updates_.push_back({id, load->key.model, load->key.adapter, ReplicaState::kReady, 0});
       load = ledger.adapter_loads.erase(load);
     }
   }
 }
 
-void FleetPlacer::Accepted(const WorkerOrder& order, bool timed, Ledger* ledger, absl::Time now) {
+void FleetPlacer::OnAccepted(const WorkerOrder& order, bool timed, Ledger* ledger, absl::Time now) {
   const ModelKey key{order.model, order.adapter};
   ledger->sequence = order.expected_sequence + 1;
   if (order.kind == OrderKind::kUnload) {
@@ -145,8 +146,8 @@
     weight_store_.LoadBegan(order.worker_id, load.full_speed, timed, now);
   }
   ledger->model_load = RunningLoad{key, now + load_time, now + load_time};
-  news_.push_back({order.worker_id, order.model, "", ReplicaState::kLoading,
-                   static_cast<int>(absl::ToInt64Milliseconds(load_time))});
+  updates_.push_back({order.worker_id, order.model, "", ReplicaState::kLoading,
+                      static_cast<int>(absl::ToInt64Milliseconds(load_time))});
 }
 
 void FleetPlacer::OnOutcome(const WorkerOrder& order, OrderOutcome outcome, absl::Time now) {
@@ -155,39 +156,39 @@
     return;
   }
   Ledger& ledger = entry->second;
-  ledger.unanswered.reset();
+  ledger.in_flight.reset();
   switch (outcome) {
     case OrderOutcome::kAccepted:
-      Accepted(order, true, &ledger, now);
+      OnAccepted(order, true, &ledger, now);
       return;
     case OrderOutcome::kDone:
       if (order.kind == OrderKind::kUnload && !order.adapter.empty()) {
-        Accepted(order, true, &ledger, now);
+        OnAccepted(order, true, &ledger, now);
         return;
       }
       ledger.uncertain = true;
-      ledger.ask_at = now + kAskAfterConflict;
+      ledger.poll_at = now + kPollDelayAfterConflict;
       return;
     case OrderOutcome::kConflict:
       ledger.uncertain = true;
-      ledger.ask_at = now + kAskAfterConflict;
+      ledger.poll_at = now + kPollDelayAfterConflict;
       return;
     case OrderOutcome::kRefused:
-      ledger.not_before = now + kAfterRefusal;
+      ledger.not_before = now + kRefusalBackoff;
       ledger.uncertain = true;
-      ledger.ask_at = now + kAfterRefusal;
+      ledger.poll_at = now + kRefusalBackoff;
       return;
     case OrderOutcome::kFenced:
       return;
     case OrderOutcome::kUnknown:
       ledger.uncertain = true;
-      ledger.without_answer = order;
-      ledger.ask_at = now + kAskAfterSilence;
+      ledger.unresolved = order;
+      ledger.poll_at = now + kPollDelayAfterTimeout;
       return;
   }
 }
 
-void FleetPlacer::TakePendingAdapters(const WorkerReport& report, Ledger* ledger, absl::Time now) {
+void FleetPlacer::AddPendingAdapters(const WorkerReport& report, Ledger* ledger, absl::Time now) {
   for (const std::string& pending : report.pending_adapters) {
     const std::pair<std::string, std::string> parts =
         absl::StrSplit(pending, absl::MaxSplits('/', 1));
@@ -204,31 +205,31 @@
 void FleetPlacer::OnWorkerReport(const std::string& worker_id, const WorkerReport& report,
                                  absl::Time now) {
   const auto entry = ledgers_.find(worker_id);
-  if (entry == ledgers_.end() || entry->second.unanswered.has_value()) {
+  if (entry == ledgers_.end() || entry->second.in_flight.has_value()) {
     return;
   }
   Ledger& ledger = entry->second;
   if (report.order_sequence < ledger.sequence) {
-    return;  // As of before the latest order; asked again.
+    return;  // The report predates the latest order; the worker is polled again.
   }
-  if (ledger.without_answer.has_value() &&
-      report.order_sequence == ledger.without_answer->expected_sequence + 1) {
-    Accepted(*ledger.without_answer, false, &ledger, now);
+  if (ledger.unresolved.has_value() &&
+      report.order_sequence == ledger.unresolved->expected_sequence + 1) {
+    OnAccepted(*ledger.unresolved, false, &ledger, now);
   }
-  ledger.without_answer.reset();
+  ledger.unresolved.reset();
   ledger.reported = true;
   ledger.sequence = report.order_sequence;
   ledger.models = report.models;
-  TakePendingAdapters(report, &ledger, now);
-  // An order that this holder knows nothing of, e.g. its predecessor's: what it will take up is not
-  // known before it has ended.
+  AddPendingAdapters(report, &ledger, now);
+  // The worker carries out an order unknown to this holder, for example of its predecessor. The
+  // worker's resulting state is unknown until that order has ended.
   const bool known = ledger.model_load.has_value() || ledger.model_unload.has_value();
   ledger.uncertain = report.busy && !known;
-  ledger.busy_with_unknown = ledger.uncertain;
-  ledger.ask_at = ledger.uncertain ? now + kAskAgain : absl::InfiniteFuture();
+  ledger.busy_with_unknown_order = ledger.uncertain;
+  ledger.poll_at = ledger.uncertain ? now + kPollInterval : absl::InfiniteFuture();
   if (!report.busy && ledger.model_load.has_value() &&
       !ledger.models.contains(ledger.model_load->key.model) &&
-      now > ledger.model_load->expected + kLoadLostAfter) {
+      now > ledger.model_load->expected + kLoadLostTimeout) {
     ledger.model_load.reset();
     weight_store_.LoadDropped(worker_id, now);
   }
@@ -245,25 +246,25 @@
     return;
   }
   ledger->model_load->expected = now + kLoadOverdueStep;
-  news_.push_back({worker_id, ledger->model_load->key.model, "", ReplicaState::kLoading,
-                   static_cast<int>(absl::ToInt64Milliseconds(kLoadOverdueStep))});
+  updates_.push_back({worker_id, ledger->model_load->key.model, "", ReplicaState::kLoading,
+                      static_cast<int>(absl::ToInt64Milliseconds(kLoadOverdueStep))});
 }
 
-std::vector<std::string> FleetPlacer::WorkersToAsk(absl::Time now) {
+std::vector<std::string> FleetPlacer::WorkersToPoll(absl::Time now) {
   std::vector<std::string> ids;
   for (auto& [id, ledger] : ledgers_) {
-    bool ask = false;
-    if (ledger.ask_at <= now) {
-      ledger.ask_at = now + kAskAgain;
-      ask = true;
+    bool poll = false;
+    if (ledger.poll_at <= now) {
+      ledger.poll_at = now + kPollInterval;
+      poll = true;
     }
     for (std::optional<RunningLoad>* const load : {&ledger.model_load, &ledger.model_unload}) {
-      if (load->has_value() && (*load)->ask_again <= now) {
-        (*load)->ask_again = now + kAskAgain;
-        ask = true;
+      if (load->has_value() && (*load)->next_poll <= now) {
+        (*load)->next_poll = now + kPollInterval;
+        poll = true;
       }
     }
-    if (ask) {
+    if (poll) {
       ids.push_back(id);
     }
   }
--- a/src/fleet/fleet_placer_waits.cc
+++ b/src/fleet/fleet_placer_waits.cc
@@ -1,5 +1,5 @@
-// When models that requests wait for are expected, told before their loads can begin: callers that
-// would wait in vain are then told when to come back.
+// Announces when models that requests wait for are expected, before their loads can begin. Callers
+// whose wait would be in vain are then told when to retry.
 #include <algorithm>
 #include <cmath>
 #include <string>
@@ -10,29 +10,29 @@
 namespace hingespan::gateway {
 namespace {
 
-// An expectation is told again when it has moved by this much, or after so long.
-constexpr absl::Duration kToldChange = absl::Milliseconds(500);
-constexpr absl::Duration kToldLifetime = absl::Seconds(1);
-// How far back it counts that models waited for a worker with their copy.
+// An expectation is announced again when it has moved by this much, or after this time.
+constexpr absl::Duration kMinAnnouncedChange = absl::Milliseconds(500);
+constexpr absl::Duration kAnnouncementLifetime = absl::Seconds(1);
+// Time constant of the moving average of copy pressure.
 constexpr absl::Duration kPressureWindow = absl::Seconds(6);
-// Making room, and seeing that there is room, before a load begins.
-constexpr absl::Duration kMakeRoom = absl::Milliseconds(500);
+// Time to make room, and to observe that there is room, before a load begins.
+constexpr absl::Duration kMakeRoomTime = absl::Milliseconds(500);
 
 }  // namespace
 
-void FleetPlacer::TellExpected(const std::string& model, absl::Time expected, absl::Time now) {
-  ToldExpected& told = told_expected_[model];
+void FleetPlacer::AnnounceExpected(const std::string& model, absl::Time expected, absl::Time now) {
+  AnnouncedExpectation& announced = announced_expectations_[model];
   const absl::Duration moved =
-      expected > told.expected ? expected - told.expected : told.expected - expected;
-  if (moved < kToldChange && now - told.told < kToldLifetime) {
+      expected > announced.expected ? expected - announced.expected : announced.expected - expected;
+  if (moved < kMinAnnouncedChange && now - announced.announced_at < kAnnouncementLifetime) {
     return;
   }
-  told = {expected, now};
-  news_.push_back({"", model, "", ReplicaState::kLoading,
-                   static_cast<int>(absl::ToInt64Milliseconds(expected - now))});
+  announced = {expected, now};
+  updates_.push_back({"", model, "", ReplicaState::kLoading,
+                      static_cast<int>(absl::ToInt64Milliseconds(expected - now))});
 }
 
-std::vector<absl::Time> FleetPlacer::StorePlacesFree(absl::Time now) const {
+std::vector<absl::Time> FleetPlacer::StoreSlotFreeTimes(absl::Time now) const {
   std::vector<absl::Time> free;
   for (const auto& [id, ledger] : ledgers_) {
     if (!ledger.model_load.has_value()) {
@@ -44,10 +44,10 @@
     }
   }
   std::sort(free.begin(), free.end());
-  const auto places =
+  const auto slots =
       static_cast<std::size_t>(std::max(1.0, std::floor(weight_store_.estimate().limit)));
-  if (free.size() < places) {
-    free.insert(free.begin(), places - free.size(), now);
+  if (free.size() < slots) {
+    free.insert(free.begin(), slots - free.size(), now);
   }
   return free;
 }
@@ -64,7 +64,7 @@
     const absl::Time free = ledger.model_load.has_value()
                                 ? std::max(context.now, ledger.model_load->expected)
                                 : context.now;
-    expected = std::min(expected, free + kMakeRoom + LoadTime(model, worker->second.record));
+    expected = std::min(expected, free + kMakeRoomTime + LoadTime(model, worker->second.record));
   }
   return expected;
 }
@@ -73,36 +73,39 @@
   if (!settings_.policy.yield_to_copies || copy_pressure_updated_ == absl::InfinitePast()) {
     return 0;
   }
-  const double kept = std::exp(-absl::FDivDuration(now - copy_pressure_updated_, kPressureWindow));
-  return copy_pressure_ * kept + (copy_waits_ ? 1 - kept : 0);
+  const double decay = std::exp(-absl::FDivDuration(now - copy_pressure_updated_, kPressureWindow));
+  return copy_pressure_ * decay + (copy_waits_ ? 1 - decay : 0);
 }
 
-void FleetPlacer::NoteCopyPressure(const std::vector<Wish>& waiting, const PlanContext& context) {
+void FleetPlacer::NoteCopyPressure(const std::vector<ReplicaCandidate>& waiting,
+                                   const PlanContext& context) {
   copy_pressure_ = CopyPressure(context.now);
   copy_pressure_updated_ = context.now;
-  copy_waits_ = std::any_of(waiting.begin(), waiting.end(), [&](const Wish& wish) {
+  copy_waits_ = std::any_of(waiting.begin(), waiting.end(), [&](const ReplicaCandidate& candidate) {
     return std::any_of(context.workers->begin(), context.workers->end(), [&](const auto& worker) {
       return context.usable.contains(worker.first) &&
-             HasCopy(wish.model->name, worker.second.record);
+             HasCopy(candidate.model->name, worker.second.record);
     });
   });
 }
 
-void FleetPlacer::TellExpectedLoads(const Service& service, const std::vector<Wish>& waiting,
-                                    const PlanContext& context) {
+void FleetPlacer::AnnounceExpectedLoads(const Service& service,
+                                        const std::vector<ReplicaCandidate>& waiting,
+                                        const PlanContext& context) {
   if (waiting.empty() || !settings_.policy.tell_expected_loads) {
     return;
   }
-  const std::vector<absl::Time> places = StorePlacesFree(context.now);
+  const std::vector<absl::Time> slots = StoreSlotFreeTimes(context.now);
   std::size_t queued = 0;
-  for (const Wish& wish : waiting) {
-    absl::Time expected = ExpectedFromCopy(service, *wish.model, context);
+  for (const ReplicaCandidate& candidate : waiting) {
+    absl::Time expected = ExpectedFromCopy(service, *candidate.model, context);
     if (expected == absl::InfiniteFuture()) {
-      const double rounds = std::floor(static_cast<double>(queued) / places.size());
-      expected = places[queued % places.size()] + kMakeRoom + (rounds + 1) * wish.model->load_time;
+      const double rounds = std::floor(static_cast<double>(queued) / slots.size());
+      expected =
+          slots[queued % slots.size()] + kMakeRoomTime + (rounds + 1) * candidate.model->load_time;
       ++queued;
     }
-    TellExpected(wish.model->name, expected, context.now);
+    AnnounceExpected(candidate.model->name, expected, context.now);
   }
 }
 
--- a/src/fleet/lease_manager.cc
+++ b/src/fleet/lease_manager.cc
@@ -5,13 +5,13 @@
 namespace hingespan::gateway {
 namespace {
 
-// Part of the renewal interval after which a write without an answer is repeated.
-constexpr double kRepeatPart = 0.25;
+// Fraction of the renewal interval after which a write without an answer is retried.
+constexpr double kRetryIntervalFraction = 0.25;
 
 }  // namespace
 
 absl::Duration LeaseSettings::OrderLimit() const {
-  return workers_check_tokens ? unconfirmed_limit : duration * unchecked_limit_part;
+  return workers_check_tokens ? unconfirmed_limit : duration * unchecked_limit_fraction;
 }
 
 absl::Duration LeaseSettings::TakeoverWait() const {
@@ -36,7 +36,7 @@
 void LeaseManager::OnRead(const std::optional<LeaseRecord>& record, std::uint64_t row_version,
                           absl::Time now) {
   if (row_known_ && row_version < row_version_) {
-    return;  // An older snapshot than what is known already.
+    return;  // This snapshot is older than the known state.
   }
   if (!row_known_ || row_version != row_version_ || unchanged_since_ == absl::InfiniteFuture()) {
     unchanged_since_ = now;
@@ -49,7 +49,7 @@
     Lose();
     return;
   }
-  // A write of this process, whether or not its answer came.
+  // This row is a write of this process, even if its answer was lost.
   const std::uint64_t token = record_->token == 0 ? row_version : record_->token;
   if (token <= fenced_token_) {
     Lose();
@@ -60,16 +60,17 @@
 }
 
 void LeaseManager::OnReadFailed(absl::Time) {
-  // While the store can't be read, a renewal can't be told from none.
+  // While the store can't be read, a missing renewal can't be detected.
   unchanged_since_ = absl::InfiniteFuture();
 }
 
 // Spec action: SendWrite, TakeOver.
 std::optional<LeaseManager::Write> LeaseManager::NextWrite(absl::Time now) {
-  if (resigned_ || write_under_way_ || needs_read_ || !row_known_) {
+  if (resigned_ || write_in_flight_ || needs_read_ || !row_known_) {
     return std::nullopt;
   }
-  const absl::Duration interval = settings_.renew_interval * (last_failed_ ? kRepeatPart : 1.0);
+  const absl::Duration interval =
+      settings_.renew_interval * (last_failed_ ? kRetryIntervalFraction : 1.0);
   if (last_attempt_ != absl::InfinitePast() && now - last_attempt_ < interval) {
     return std::nullopt;
   }
@@ -79,7 +80,8 @@
   if (holding_) {
     write.record.token = token_;
   } else if (record_.has_value()) {
-    // Another process on this machine is gone for certain; another machine may only be silent.
+    // An earlier process on this machine has certainly ended; another machine may only be
+    // unreachable.
     const bool same_machine =
         record_->holder == settings_.node && record_->incarnation != settings_.incarnation;
     const absl::Duration wait =
@@ -90,7 +92,7 @@
   } else if (unchanged_since_ == absl::InfiniteFuture() || now - unchanged_since_ < extra_wait_) {
     return std::nullopt;
   }
-  write_under_way_ = true;
+  write_in_flight_ = true;
   write_renews_ = holding_;
   write_sent_ = now;
   last_attempt_ = now;
@@ -99,10 +101,11 @@
 
 // Spec action: WriteAnswered.
 void LeaseManager::OnCommitted(std::uint64_t row_version, absl::Time now) {
-  write_under_way_ = false;
+  write_in_flight_ = false;
   last_failed_ = false;
   if (write_renews_ && !holding_) {
-    // The lease was lost while its renewal was under way: the renewal came before that.
+    // The lease was lost while its renewal was in flight, so the renewal took effect before the
+    // loss.
     needs_read_ = true;
     return;
   }
@@ -119,7 +122,7 @@
 }
 
 void LeaseManager::OnConflict(absl::Time) {
-  write_under_way_ = false;
+  write_in_flight_ = false;
   last_failed_ = false;
   needs_read_ = true;
   confirmed_at_ = absl::InfinitePast();
@@ -127,9 +130,9 @@
 
 // Spec action: WriteAnswered.
 void LeaseManager::OnCommitFailed(absl::Time) {
-  write_under_way_ = false;
+  write_in_flight_ = false;
   last_failed_ = true;
-  // It may have happened: the row tells.
+  // The write may have taken effect; reading the row settles it.
   needs_read_ = true;
 }
 
--- a/src/fleet/shared_reading.cc
+++ b/src/fleet/shared_reading.cc
@@ -22,8 +22,8 @@
 constexpr int kGone = 410;
 constexpr int kNoCopy = 503;
 
-// A copy's answer: [version, milliseconds since the store confirmed it, rows], each row
-// [key, value, version, removed]. CBOR.
+// Format of an answer with rows, in CBOR: [version, milliseconds since the store confirmed it,
+// rows], with each row as [key, value, version, removed].
 std::string EncodeRows(const StoreRows& rows, absl::Duration age) {
   Json list = Json::array();
   for (const StoreRow& row : rows.rows) {
@@ -63,15 +63,15 @@
 
 }  // namespace
 
-// Another node's question for changes that waits for one.
-struct SharedReading::Question {
+// Watch request of another node that waits for changes.
+struct SharedReading::PendingWatch {
   std::shared_ptr<ServerExchange> exchange;
   std::string table;
   std::uint64_t after = 0;
   std::shared_ptr<LoopTimer> timer;
 };
 
-// One question to a reader; keeps itself alive until its end.
+// One request to a reader; keeps itself alive until it ends.
 class SharedReading::PeerCall : public AnswerReceiver,
                                 public std::enable_shared_from_this<PeerCall> {
  public:
@@ -143,7 +143,7 @@
     }
   }
   const bool read_itself_before = reads_itself_;
-  if (zone.size() <= settings_.most_nodes_without_readers) {
+  if (zone.size() <= settings_.max_nodes_without_readers) {
     readers_.clear();
     reads_itself_ = true;
   } else {
@@ -153,7 +153,7 @@
       }
       return Rank(left.name) < Rank(right.name);
     });
-    zone.resize(settings_.readers_each_zone);
+    zone.resize(settings_.readers_per_zone);
     readers_ = std::move(zone);
     reads_itself_ = readers_.front().name == settings_.node;
   }
@@ -247,7 +247,7 @@
       ReadDirectly(table, callback);
       return;
     }
-    TakePeerAnswer(table, answer->rows, answer->age, true);
+    ApplyPeerAnswer(table, answer->rows, answer->age, true);
     callback(answer->rows);
   })->Start(client_, reader->address, absl::StrCat(kTablePath, table), settings_.peer_wait);
 }
@@ -264,11 +264,11 @@
     return;
   }
   const std::string name = reader->name;
-  const absl::Duration asked = std::min(wait, settings_.peer_wait);
+  const absl::Duration watch_wait = std::min(wait, settings_.peer_wait);
   std::make_shared<PeerCall>(
       loop_,
-      [this, alive = alive_, table, name, after, asked, callback](int status,
-                                                                  const std::string& body) {
+      [this, alive = alive_, table, name, after, watch_wait, callback](int status,
+                                                                       const std::string& body) {
         if (!*alive) {
           return;
         }
@@ -280,19 +280,20 @@
             status == 200 ? DecodeRows(table, body) : std::nullopt;
         if (!answer.has_value() || answer->age > settings_.freshness) {
           Avoid(name, answer.has_value() ? "stale" : absl::StrCat("status ", status));
-          WatchDirectly(table, after, asked, callback);
+          WatchDirectly(table, after, watch_wait, callback);
           return;
         }
-        TakePeerAnswer(table, answer->rows, answer->age, false);
+        ApplyPeerAnswer(table, answer->rows, answer->age, false);
         callback(answer->rows);
       })
-      ->Start(client_, reader->address,
-              absl::StrCat(kTablePath, table, "/", after, "/", absl::ToInt64Milliseconds(asked)),
-              asked + settings_.peer_slack);
+      ->Start(
+          client_, reader->address,
+          absl::StrCat(kTablePath, table, "/", after, "/", absl::ToInt64Milliseconds(watch_wait)),
+          watch_wait + settings_.peer_slack);
 }
 
-void SharedReading::TakePeerAnswer(const std::string& table, const StoreRows& rows,
-                                   absl::Duration age, bool snapshot) {
+void SharedReading::ApplyPeerAnswer(const std::string& table, const StoreRows& rows,
+                                    absl::Duration age, bool snapshot) {
   TableCopy& copy = copies_.at(table);
   const absl::Time confirmed = loop_->Now() - age;
   if (snapshot) {
@@ -309,7 +310,8 @@
 
 void SharedReading::OnRequest(const std::shared_ptr<ServerExchange>& exchange) {
   const std::vector<std::string> parts = absl::StrSplit(exchange->head().target, '/');
-  // "", "tables", table, and for changes: after, milliseconds.
+  // The parts are "", "tables" and the table, and for a watch also `after` and the wait in
+  // milliseconds.
   const auto copy = parts.size() > 2 ? copies_.find(parts[2]) : copies_.end();
   const absl::Time now = loop_->Now();
   if (copy == copies_.end() || !copy->second.known() ||
@@ -322,63 +324,63 @@
                      EncodeRows(copy->second.Snapshot(), now - copy->second.confirmed()));
     return;
   }
-  Question question{exchange, parts[2], 0, nullptr};
+  PendingWatch watch{exchange, parts[2], 0, nullptr};
   std::int64_t wait = 0;
-  if (!absl::SimpleAtoi(parts[3], &question.after) || !absl::SimpleAtoi(parts[4], &wait)) {
+  if (!absl::SimpleAtoi(parts[3], &watch.after) || !absl::SimpleAtoi(parts[4], &wait)) {
     exchange->Answer(400, ReasonPhrase(400), {}, {});
     return;
   }
-  if (copy->second.HasChangesAfter(question.after)) {
-    Answer(question);
+  if (copy->second.HasChangesAfter(watch.after)) {
+    Answer(watch);
     return;
   }
-  question.timer = loop_->MakeTimer();
-  questions_.push_back(question);
-  const auto entry = std::prev(questions_.end());
+  watch.timer = loop_->MakeTimer();
+  pending_watches_.push_back(watch);
+  const auto entry = std::prev(pending_watches_.end());
   const absl::Duration held = std::min(absl::Milliseconds(wait), settings_.peer_wait);
-  question.timer->Set(now + held, [this, entry] {
-    const Question due = *entry;
-    questions_.erase(entry);
+  watch.timer->Set(now + held, [this, entry] {
+    const PendingWatch due = *entry;
+    pending_watches_.erase(entry);
     Answer(due);
   });
 }
 
-void SharedReading::Answer(const Question& question) {
-  const TableCopy& copy = copies_.at(question.table);
-  const std::optional<StoreRows> changes = copy.ChangesAfter(question.after);
+void SharedReading::Answer(const PendingWatch& watch) {
+  const TableCopy& copy = copies_.at(watch.table);
+  const std::optional<StoreRows> changes = copy.ChangesAfter(watch.after);
   if (!changes.has_value()) {
-    question.exchange->Answer(kGone, "Gone", {}, {});
+    watch.exchange->Answer(kGone, "Gone", {}, {});
     return;
   }
-  question.exchange->Answer(200, ReasonPhrase(200), {},
-                            EncodeRows(*changes, loop_->Now() - copy.confirmed()));
+  watch.exchange->Answer(200, ReasonPhrase(200), {},
+                         EncodeRows(*changes, loop_->Now() - copy.confirmed()));
 }
 
 void SharedReading::ScheduleAnswers(const std::string& table) {
-  if (gathering_[table] || questions_.empty()) {
+  if (batching_[table] || pending_watches_.empty()) {
     return;
   }
-  gathering_[table] = true;
-  std::unique_ptr<LoopTimer>& timer = gather_timers_[table];
+  batching_[table] = true;
+  std::unique_ptr<LoopTimer>& timer = batch_timers_[table];
   if (timer == nullptr) {
     timer = loop_->MakeTimer();
   }
-  timer->Set(loop_->Now() + settings_.gather, [this, table] {
-    gathering_[table] = false;
-    AnswerWaiting(table);
+  timer->Set(loop_->Now() + settings_.batch_interval, [this, table] {
+    batching_[table] = false;
+    AnswerPendingWatches(table);
   });
 }
 
-void SharedReading::AnswerWaiting(const std::string& table) {
+void SharedReading::AnswerPendingWatches(const std::string& table) {
   const TableCopy& copy = copies_.at(table);
-  for (auto entry = questions_.begin(); entry != questions_.end();) {
+  for (auto entry = pending_watches_.begin(); entry != pending_watches_.end();) {
     if (entry->table != table || !copy.HasChangesAfter(entry->after)) {
       ++entry;
       continue;
     }
-    const Question question = *entry;
-    entry = questions_.erase(entry);
-    Answer(question);
+    const PendingWatch watch = *entry;
+    entry = pending_watches_.erase(entry);
+    Answer(watch);
   }
 }
 
--- a/src/fleet/weight_store_limit.cc
+++ b/src/fleet/weight_store_limit.cc
@@ -7,18 +7,18 @@
 namespace hingespan::gateway {
 namespace {
 
-constexpr double kLeastLimit = 1;
-// The limit counts in whole loads; estimates a little below the next whole one count as it.
-constexpr double kRounding = 0.3;
+constexpr double kMinLimit = 1;
+// The limit is applied in whole loads; an estimate this close below a whole number is rounded up.
+constexpr double kRoundingTolerance = 0.3;
 
 }  // namespace
 
 void WeightStoreLimit::Begin(const WeightStoreEstimate& inherited) {
   loads_.clear();
-  others_ = 0;
+  other_loads_ = 0;
   advanced_ = absl::InfinitePast();
-  at_full_speed_ = 0;
-  if (inherited.limit >= kLeastLimit) {
+  full_speed_loads_ = 0;
+  if (inherited.limit >= kMinLimit) {
     limit_ = inherited.limit;
     settled_ = inherited.settled;
   }
@@ -59,14 +59,14 @@
   if (!load.timed || seen_seconds <= 0) {
     return;
   }
-  const double at_once = load.load_seconds / seen_seconds;
-  // It ended between the last look that saw it under way and this one.
+  const double mean_concurrency = load.load_seconds / seen_seconds;
+  // The load ended between the last observation that saw it running and this one.
   const absl::Duration took = load.last_seen_running - settings_.observation_lag - load.began;
   if (took < load.full_speed * settings_.slow_factor) {
-    TakeFullSpeed(at_once, load.limit_bound);
+    AddFullSpeedSample(mean_concurrency, load.limit_bound);
     return;
   }
-  TakeSlow(at_once * absl::FDivDuration(load.full_speed, took));
+  AddSlowSample(mean_concurrency * absl::FDivDuration(load.full_speed, took));
 }
 
 void WeightStoreLimit::LoadDropped(const std::string& worker_id, absl::Time now) {
@@ -76,11 +76,11 @@
 
 void WeightStoreLimit::SetOtherLoads(int count, absl::Time now) {
   Advance(now);
-  others_ = count;
+  other_loads_ = count;
 }
 
-void WeightStoreLimit::TakeFullSpeed(double at_once, bool limit_bound) {
-  limit_ = std::max(limit_, std::floor(at_once));
+void WeightStoreLimit::AddFullSpeedSample(double mean_concurrency, bool limit_bound) {
+  limit_ = std::max(limit_, std::floor(mean_concurrency));
   if (!limit_bound) {
     return;
   }
@@ -88,21 +88,21 @@
     limit_ += settings_.growth;
     return;
   }
-  at_full_speed_ += 1;
-  if (at_full_speed_ >= settings_.loads_each_place_before_trial * limit_) {
-    at_full_speed_ = 0;
+  full_speed_loads_ += 1;
+  if (full_speed_loads_ >= settings_.loads_per_slot_before_trial * limit_) {
+    full_speed_loads_ = 0;
     limit_ += 1;
   }
 }
 
-void WeightStoreLimit::TakeSlow(double sample) {
+void WeightStoreLimit::AddSlowSample(double sample) {
   const double weight = settled_ ? settings_.sample_weight : 1.0;
-  limit_ = std::max(kLeastLimit, limit_ + weight * (std::min(sample, limit_) - limit_));
+  limit_ = std::max(kMinLimit, limit_ + weight * (std::min(sample, limit_) - limit_));
   settled_ = true;
-  at_full_speed_ = 0;
+  full_speed_loads_ = 0;
 }
 
-void WeightStoreLimit::TakeOverdue(absl::Time now) {
+void WeightStoreLimit::ApplyOverdueLoads(absl::Time now) {
   double least = limit_;
   int overdue = 0;
   for (const auto& [id, load] : loads_) {
@@ -111,26 +111,27 @@
       continue;
     }
     const double seconds = absl::ToDoubleSeconds(now - load.began);
-    const double at_once = load.load_seconds / seconds;
-    least = std::min(least, at_once * absl::FDivDuration(load.full_speed, ran));
+    const double mean_concurrency = load.load_seconds / seconds;
+    least = std::min(least, mean_concurrency * absl::FDivDuration(load.full_speed, ran));
     ++overdue;
   }
-  // One alone may be the fault of its worker.
-  constexpr int kLeastOverdue = 2;
-  if (overdue >= kLeastOverdue && least < limit_) {
-    limit_ = std::max(kLeastLimit, least);
+  // A single overdue load may be the fault of its worker.
+  constexpr int kMinOverdueLoads = 2;
+  if (overdue >= kMinOverdueLoads && least < limit_) {
+    limit_ = std::max(kMinLimit, least);
     settled_ = true;
-    at_full_speed_ = 0;
+    full_speed_loads_ = 0;
   }
 }
 
-bool WeightStoreLimit::MayBegin(int planned, double part, absl::Time now) {
+bool WeightStoreLimit::MayBegin(int planned, double fraction, absl::Time now) {
   Advance(now);
-  TakeOverdue(now);
+  ApplyOverdueLoads(now);
   const int wanted = running() + planned + 1;
-  const double most = settings_.enabled ? limit_ + kRounding : std::numeric_limits<double>::max();
+  const double most =
+      settings_.enabled ? limit_ + kRoundingTolerance : std::numeric_limits<double>::max();
   if (wanted <= most) {
-    return wanted <= std::max(kLeastLimit, most * part);
+    return wanted <= std::max(kMinLimit, most * fraction);
   }
   for (auto& [id, load] : loads_) {
     load.limit_bound = true;
@@ -142,7 +143,8 @@
   if (!settled_) {
     return full_speed;
   }
-  return full_speed * std::max(1.0, (running() + 1) / std::max(kLeastLimit, limit_ + kRounding));
+  return full_speed *
+         std::max(1.0, (running() + 1) / std::max(kMinLimit, limit_ + kRoundingTolerance));
 }
 
 }  // namespace hingespan::gateway
--- a/tests/fleet/fleet_coordinator_test.cc
+++ b/tests/fleet/fleet_coordinator_test.cc
@@ -17,7 +17,7 @@
 
 constexpr absl::Duration kLimit = absl::Seconds(10);
 
-// One table in memory.
+// In-memory store with one table.
 class MemoryStore : public SharedStore {
  public:
   explicit MemoryStore(EventLoop* loop) : loop_(loop) {}
@@ -46,7 +46,7 @@
   }
 
   bool Has(const std::string& key) const { return rows_.contains(key); }
-  // The next calls that write get no answer; the writes are done later, by ApplyLate.
+  // Number of the next commits that get no answer; ApplyLate applies their writes later.
   int unanswered = 0;
   int late() const { return static_cast<int>(late_.size()); }
   void ApplyLate() {
@@ -94,7 +94,7 @@
 
 struct Node {
   Node(Fleet* fleet, const std::string& name, std::uint64_t incarnation);
-  // Attempts under way at the one worker "w".
+  // Sets the number of requests that run at the only worker, "w".
   void Run(int count) {
     running = count;
     coordinator->DemandChanged();
@@ -110,7 +110,7 @@
 };
 
 struct Fleet {
-  // Takes the place of an earlier one of the name.
+  // Starts a node; it replaces an earlier one of the same name.
   Node* Add(const std::string& name) {
     nodes[name] = std::make_unique<Node>(this, name, ++incarnation);
     nodes[name]->coordinator->Start();
@@ -122,7 +122,7 @@
   EventLoop loop;
   MemoryStore store{&loop};
   std::vector<std::unique_ptr<Node>> ended;
-  // By name, which is the address too.
+  // Nodes by name, which is also their address.
   std::map<std::string, std::unique_ptr<Node>> nodes;
 };
 
@@ -165,9 +165,9 @@
   coordinator->SetConfiguration(std::make_shared<const Configuration>());
 }
 
-// Guards against: a worker counts as full at a node for ever, since news name only workers with
-// load, and the other nodes' last requests there have ended.
-TEST_CASE("a worker that the other nodes have left has no load of theirs any more") {
+// Guards against a worker counting as full forever at a node: loads name only workers with load, so
+// a worker whose last requests of other nodes have ended is no longer listed.
+TEST_CASE("a worker without requests of other nodes has no load of theirs") {
   Fleet fleet;
   Node* const holder = fleet.Add("n1");
   REQUIRE(fleet.Wait([&] { return holder->coordinator->holds_lease(); }));
@@ -180,35 +180,35 @@
   CHECK(fleet.Wait([&] { return holder->peers_running() == 0 && other->peers_running() == 0; }));
 }
 
-// Guards against: a new holder tells that nobody runs anything, since nobody has reported to it
-// yet.
-TEST_CASE("a node that becomes the holder keeps the loads that it knew") {
+// Guards against a new holder announcing zero load for all workers because no node has reported to
+// it yet.
+TEST_CASE("a node that becomes the holder keeps the loads it knows") {
   Fleet fleet;
   Node* const node = fleet.Add("n1");
-  PlacementNews news;
-  news.holder = "n0";
-  news.address = "n1";
-  news.token = 1;
-  news.number = 1;
-  news.loads = {{"w", 3, 0, {}}};
-  node->coordinator->OnDatagram(EncodeFleetMessage(news));
+  PlacementUpdate update;
+  update.holder = "n0";
+  update.address = "n1";
+  update.token = 1;
+  update.number = 1;
+  update.loads = {{"w", 3, 0, {}}};
+  node->coordinator->OnDatagram(EncodeFleetMessage(update));
   REQUIRE(node->peers_running() == 3);
   REQUIRE(fleet.Wait([&] { return node->coordinator->holds_lease(); }));
   CHECK(node->peers_running() == 3);
-  // Nobody reports any load.
+  // No node reports any load.
   CHECK(fleet.Wait([&] { return node->peers_running() == 0; }));
 }
 
-// Guards against: a node is unknown to all others for the rest of its life, since the removal of
-// its row by the process before it, which got no answer, was done only now.
-TEST_CASE("a late removal of a node's row does not take the row of the next process") {
+// Guards against a node staying unknown to all others: the previous process's removal of its row
+// got no answer and takes effect only after the node has restarted.
+TEST_CASE("a late removal of a node's row does not remove the row of the next process") {
   Fleet fleet;
   Node* const earlier = fleet.Add("n1");
   REQUIRE(fleet.Wait([&] { return earlier->coordinator->holds_lease(); }));
   fleet.store.unanswered = 1;
   earlier->coordinator->Stop();
   REQUIRE(fleet.Wait([&] { return fleet.store.late() == 1; }));
-  // The successor starts before the removal is done.
+  // The new process starts before the removal takes effect.
   fleet.ended.push_back(std::move(fleet.nodes["n1"]));
   Node* const later = fleet.Add("n1");
   REQUIRE(fleet.Wait([&] { return later->coordinator->holds_lease(); }));
@@ -217,7 +217,7 @@
   CHECK(fleet.store.Has("node/n1"));
 }
 
-// Guards against: a node whose row is gone is unknown to all others for the rest of its life.
+// Guards against a node staying unknown to all others after its row was removed.
 TEST_CASE("a node whose row is gone announces itself again") {
   Fleet fleet;
   Node* const node = fleet.Add("n1");
@@ -227,9 +227,9 @@
   CHECK(fleet.Wait([&] { return fleet.store.Has("node/n1"); }));
 }
 
-// Guards against: a node that stopped counts as one of the fleet for ever, since the only call that
-// takes its row away failed.
-TEST_CASE("a node that stops takes its row away although the first call fails") {
+// Guards against a stopped node staying in the fleet forever because the only removal of its row
+// failed.
+TEST_CASE("a node that stops removes its row although the first call fails") {
   Fleet fleet;
   Node* const node = fleet.Add("n1");
   REQUIRE(fleet.Wait([&] { return node->coordinator->holds_lease(); }));
--- a/tests/fleet/fleet_messages_test.cc
+++ b/tests/fleet/fleet_messages_test.cc
@@ -8,7 +8,7 @@
 namespace hingespan::gateway {
 namespace {
 
-TEST_CASE("a demand report is read as it was written") {
+TEST_CASE("a demand report is decoded as it was encoded") {
   const DemandReport report{
       "n1", 5, 9, {{"s", "m", "a1", 1, 2, 3, 900}}, {{"w1", 4, 500, {{"m", 3}, {"n", 1}}}}, {"w7"}};
   const auto read = DecodeFleetMessage(EncodeFleetMessage(report));
@@ -29,12 +29,12 @@
   CHECK(same->unreachable == std::vector<std::string>{"w7"});
 }
 
-TEST_CASE("placement news are read as they were written") {
-  const PlacementNews news{"n1", "1.2.3.4:5", 7, 2, {{"w1", "m", "", ReplicaState::kLoading, 40}},
-                           {}};
-  const auto read = DecodeFleetMessage(EncodeFleetMessage(news));
+TEST_CASE("a placement update is decoded as it was encoded") {
+  const PlacementUpdate update{
+      "n1", "1.2.3.4:5", 7, 2, {{"w1", "m", "", ReplicaState::kLoading, 40}}, {}};
+  const auto read = DecodeFleetMessage(EncodeFleetMessage(update));
   REQUIRE(read.has_value());
-  const auto* const same = std::get_if<PlacementNews>(&*read);
+  const auto* const same = std::get_if<PlacementUpdate>(&*read);
   REQUIRE(same != nullptr);
   CHECK(same->token == 7);
   CHECK(same->address == "1.2.3.4:5");
@@ -44,26 +44,26 @@
   CHECK(!same->loads.has_value());
 }
 
-TEST_CASE("news without loads differ from news that nobody has any") {
-  PlacementNews news;
-  news.loads.emplace();
-  const auto none = DecodeFleetMessage(EncodeFleetMessage(news));
+TEST_CASE("an update without loads differs from one with no loaded workers") {
+  PlacementUpdate update;
+  update.loads.emplace();
+  const auto none = DecodeFleetMessage(EncodeFleetMessage(update));
   REQUIRE(none.has_value());
-  REQUIRE(std::get<PlacementNews>(*none).loads.has_value());
-  CHECK(std::get<PlacementNews>(*none).loads->empty());
-  news.loads = {{"w1", 2, 30, {}}};
-  const auto some = DecodeFleetMessage(EncodeFleetMessage(news));
+  REQUIRE(std::get<PlacementUpdate>(*none).loads.has_value());
+  CHECK(std::get<PlacementUpdate>(*none).loads->empty());
+  update.loads = {{"w1", 2, 30, {}}};
+  const auto some = DecodeFleetMessage(EncodeFleetMessage(update));
   REQUIRE(some.has_value());
-  REQUIRE(std::get<PlacementNews>(*some).loads.has_value());
-  CHECK(std::get<PlacementNews>(*some).loads->at(0).running == 2);
+  REQUIRE(std::get<PlacementUpdate>(*some).loads.has_value());
+  CHECK(std::get<PlacementUpdate>(*some).loads->at(0).running == 2);
 }
 
-TEST_CASE("a length beyond all memory is no message") {
+TEST_CASE("a length beyond the available memory is not a valid message") {
   // An array of 2^59 entries.
   CHECK(!DecodeFleetMessage(absl::string_view("\x9b\x08\0\0\0\0\0\0\0", 9)).has_value());
 }
 
-TEST_CASE("property: no bytes do harm") {
+TEST_CASE("property: arbitrary bytes are decoded safely") {
   CHECK(rc::check("any datagram", [] {
     std::string bytes = *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
     if (*rc::gen::arbitrary<bool>()) {
--- a/tests/fleet/fleet_placer_test.cc
+++ b/tests/fleet/fleet_placer_test.cc
@@ -12,10 +12,10 @@
 
 absl::Time At(double seconds) { return absl::UnixEpoch() + absl::Seconds(1000 + seconds); }
 
-// Engines that obey orders as the platform's do, without sockets.
-class PlacerWorld {
+// Placer with simulated workers that carry out orders like the platform's engines, without sockets.
+class PlacerFixture {
  public:
-  explicit PlacerWorld(int workers, double load_seconds = 1.0) : placer(FleetPlacerSettings{}) {
+  explicit PlacerFixture(int workers, double load_seconds = 1.0) : placer(FleetPlacerSettings{}) {
     Service service;
     service.name = "s";
     service.engine.emplace();
@@ -53,9 +53,9 @@
     placer.OnReport(report, At(now));
   }
 
-  // Answers the reports that the placer asks for.
+  // Delivers the worker reports that the placer requests.
   void Reports(double now) {
-    for (const std::string& id : placer.WorkersToAsk(At(now))) {
+    for (const std::string& id : placer.WorkersToPoll(At(now))) {
       WorkerReport report;
       report.models = workers[id].record.models;
       report.order_sequence = sequences[id];
@@ -73,7 +73,7 @@
     return orders;
   }
 
-  // The worker takes the order; a model load is done at once.
+  // The worker accepts the order; a model load completes immediately.
   void Accept(const WorkerOrder& order, double now) {
     auto& models = workers[order.worker_id].record.models;
     ++sequences[order.worker_id];
@@ -102,128 +102,128 @@
 };
 
 TEST_CASE("nothing is ordered at a worker before a report shows its sequence") {
-  PlacerWorld world(1);
-  world.Demand(5, "m1", "", 1, 0, 1);
-  CHECK(world.placer.Plan(world.configuration, world.workers, At(5)).empty());
-  world.sequences["w0"] = 4;
-  world.Reports(5);
-  const auto orders = world.placer.Plan(world.configuration, world.workers, At(5));
+  PlacerFixture fixture(1);
+  fixture.Demand(5, "m1", "", 1, 0, 1);
+  CHECK(fixture.placer.Plan(fixture.configuration, fixture.workers, At(5)).empty());
+  fixture.sequences["w0"] = 4;
+  fixture.Reports(5);
+  const auto orders = fixture.placer.Plan(fixture.configuration, fixture.workers, At(5));
   REQUIRE(orders.size() == 1);
   CHECK(orders[0].order.expected_sequence == 4);
   CHECK(orders[0].order.kind == OrderKind::kLoad);
 }
 
-TEST_CASE("a busy worker whose order is not known here gets none until it has ended") {
-  PlacerWorld world(1);
-  world.busy["w0"] = true;
-  world.Demand(5, "m1", "", 1, 0, 1);
-  CHECK(world.Plan(5).empty());
-  world.busy["w0"] = false;
-  world.Demand(6, "m1", "", 1, 0, 1);
-  CHECK(world.Plan(6).size() == 1);
+TEST_CASE("a worker busy with an unknown order gets no order until that one has ended") {
+  PlacerFixture fixture(1);
+  fixture.busy["w0"] = true;
+  fixture.Demand(5, "m1", "", 1, 0, 1);
+  CHECK(fixture.Plan(5).empty());
+  fixture.busy["w0"] = false;
+  fixture.Demand(6, "m1", "", 1, 0, 1);
+  CHECK(fixture.Plan(6).size() == 1);
 }
 
-TEST_CASE("one load serves all that wait for a model") {
-  PlacerWorld world(3);
-  world.Demand(5, "m1", "", 6, 0, 6);
-  const auto orders = world.Plan(5);
+TEST_CASE("one load serves all requests that wait for a model") {
+  PlacerFixture fixture(3);
+  fixture.Demand(5, "m1", "", 6, 0, 6);
+  const auto orders = fixture.Plan(5);
   REQUIRE(orders.size() == 1);
-  world.Demand(5.1, "m1", "", 6, 0, 0);
-  CHECK(world.Plan(5.1).empty());
+  fixture.Demand(5.1, "m1", "", 6, 0, 0);
+  CHECK(fixture.Plan(5.1).empty());
 }
 
-TEST_CASE("room is made by unloading what is asked for least") {
-  PlacerWorld world(1);
-  world.Hold("w0", "m1");
-  world.Hold("w0", "m2");
-  world.Demand(4, "m1", "", 0, 1, 6);
-  world.Demand(5, "m3", "", 1, 0, 1);
-  const auto orders = world.Plan(5);
+TEST_CASE("room is made by unloading the model with the least demand") {
+  PlacerFixture fixture(1);
+  fixture.Hold("w0", "m1");
+  fixture.Hold("w0", "m2");
+  fixture.Demand(4, "m1", "", 0, 1, 6);
+  fixture.Demand(5, "m3", "", 1, 0, 1);
+  const auto orders = fixture.Plan(5);
   REQUIRE(orders.size() == 1);
   CHECK(orders[0].order.kind == OrderKind::kUnload);
   CHECK(orders[0].order.model == "m2");
 }
 
-TEST_CASE("the room of an unloaded model is free only when the worker is not busy any more") {
-  PlacerWorld world(1);
-  world.Hold("w0", "m1");
-  world.Hold("w0", "m2");
-  world.Demand(4, "m1", "", 0, 1, 6);
-  world.Demand(5, "m3", "", 1, 0, 1);
-  const auto orders = world.Plan(5);
+TEST_CASE("the memory of an unloaded model is free only when the worker is no longer busy") {
+  PlacerFixture fixture(1);
+  fixture.Hold("w0", "m1");
+  fixture.Hold("w0", "m2");
+  fixture.Demand(4, "m1", "", 0, 1, 6);
+  fixture.Demand(5, "m3", "", 1, 0, 1);
+  const auto orders = fixture.Plan(5);
   REQUIRE(orders.size() == 1);
-  world.Accept(orders[0].order, 5.01);
-  world.workers["w0"].row_version = 2;
-  world.busy["w0"] = true;
-  world.Demand(6, "m3", "", 1, 0, 0);
-  CHECK(world.Plan(6).empty());
-  world.busy["w0"] = false;
-  world.Demand(7, "m3", "", 1, 0, 0);
-  CHECK(world.Plan(7).size() == 1);
+  fixture.Accept(orders[0].order, 5.01);
+  fixture.workers["w0"].row_version = 2;
+  fixture.busy["w0"] = true;
+  fixture.Demand(6, "m3", "", 1, 0, 0);
+  CHECK(fixture.Plan(6).empty());
+  fixture.busy["w0"] = false;
+  fixture.Demand(7, "m3", "", 1, 0, 0);
+  CHECK(fixture.Plan(7).size() == 1);
 }
 
-TEST_CASE("a record from before an outage of the store takes nothing back") {
-  PlacerWorld world(1);
-  world.Hold("w0", "m1");
-  world.Demand(5, "m2", "", 1, 0, 1);
-  const auto orders = world.Plan(5);
+TEST_CASE("a record from before an outage of the store does not undo a load") {
+  PlacerFixture fixture(1);
+  fixture.Hold("w0", "m1");
+  fixture.Demand(5, "m2", "", 1, 0, 1);
+  const auto orders = fixture.Plan(5);
   REQUIRE(orders.size() == 1);
-  world.Accept(orders[0].order, 5.01);
-  world.Demand(7, "m3", "", 1, 0, 1);
-  world.Reports(7);
-  auto stale = world.workers;
+  fixture.Accept(orders[0].order, 5.01);
+  fixture.Demand(7, "m3", "", 1, 0, 1);
+  fixture.Reports(7);
+  auto stale = fixture.workers;
   stale["w0"].record.models.erase("m2");
   stale["w0"].row_version = 9;
-  // Loading m3 beside both would be beyond its room.
-  for (const PlannedOrder& planned : world.placer.Plan(world.configuration, stale, At(12))) {
+  // There is no memory for m3 in addition to m1 and m2.
+  for (const PlannedOrder& planned : fixture.placer.Plan(fixture.configuration, stale, At(12))) {
     CHECK(planned.order.kind == OrderKind::kUnload);
   }
 }
 
-TEST_CASE("an order without an answer holds the worker until its sequence tells") {
-  PlacerWorld world(1);
-  world.Demand(5, "m1", "", 1, 0, 1);
-  const auto orders = world.Plan(5);
+TEST_CASE("an order without an answer blocks the worker until its sequence shows the outcome") {
+  PlacerFixture fixture(1);
+  fixture.Demand(5, "m1", "", 1, 0, 1);
+  const auto orders = fixture.Plan(5);
   REQUIRE(orders.size() == 1);
-  world.placer.OnOutcome(orders[0].order, OrderOutcome::kUnknown, At(5.7));
-  world.Demand(5.8, "m1", "", 1, 0, 0);
-  CHECK(world.placer.Plan(world.configuration, world.workers, At(5.8)).empty());
-  // It was taken after all: the report counts it.
-  world.sequences["w0"] = 1;
-  world.busy["w0"] = true;
-  world.Demand(6.5, "m1", "", 1, 0, 0);
-  CHECK(world.Plan(6.5).empty());
+  fixture.placer.OnOutcome(orders[0].order, OrderOutcome::kUnknown, At(5.7));
+  fixture.Demand(5.8, "m1", "", 1, 0, 0);
+  CHECK(fixture.placer.Plan(fixture.configuration, fixture.workers, At(5.8)).empty());
+  // The order was accepted after all, as the report's sequence shows.
+  fixture.sequences["w0"] = 1;
+  fixture.busy["w0"] = true;
+  fixture.Demand(6.5, "m1", "", 1, 0, 0);
+  CHECK(fixture.Plan(6.5).empty());
 }
 
-TEST_CASE("adapters take the place of idle ones when the slots are full") {
-  PlacerWorld world(1);
-  world.Hold("w0", "m1");
-  world.workers["w0"].record.models["m1"] = {"a1", "a2"};
-  world.Demand(5, "m1", "a3", 1, 0, 1);
-  auto orders = world.Plan(5);
+TEST_CASE("adapters replace idle ones when the slots are full") {
+  PlacerFixture fixture(1);
+  fixture.Hold("w0", "m1");
+  fixture.workers["w0"].record.models["m1"] = {"a1", "a2"};
+  fixture.Demand(5, "m1", "a3", 1, 0, 1);
+  auto orders = fixture.Plan(5);
   REQUIRE(orders.size() == 1);
   CHECK(orders[0].order.kind == OrderKind::kUnload);
   CHECK(!orders[0].order.adapter.empty());
-  world.Accept(orders[0].order, 5.01);
-  orders = world.Plan(5.02);
+  fixture.Accept(orders[0].order, 5.01);
+  orders = fixture.Plan(5.02);
   REQUIRE(orders.size() == 1);
   CHECK(orders[0].order.kind == OrderKind::kLoad);
   CHECK(orders[0].order.adapter == "a3");
 }
 
 TEST_CASE("a draining worker gets no orders and its replicas do not count") {
-  PlacerWorld world(2);
-  world.Hold("w0", "m1");
-  world.workers["w0"].record.draining = true;
-  world.Demand(5, "m1", "", 1, 0, 1);
-  const auto orders = world.Plan(5);
+  PlacerFixture fixture(2);
+  fixture.Hold("w0", "m1");
+  fixture.workers["w0"].record.draining = true;
+  fixture.Demand(5, "m1", "", 1, 0, 1);
+  const auto orders = fixture.Plan(5);
   REQUIRE(orders.size() == 1);
   CHECK(orders[0].order.worker_id == "w1");
 }
 
 TEST_CASE("property: room, adapter slots and the store's rate are never exceeded") {
   CHECK(rc::check("random demand and outcomes", [] {
-    PlacerWorld world(4, 0.3);
+    PlacerFixture fixture(4, 0.3);
     std::vector<double> loads;
     double now = 3;
     const int steps = *rc::gen::inRange(20, 120);
@@ -231,26 +231,26 @@
       now += *rc::gen::element(0.02, 0.1, 0.3, 0.7);
       const std::string model = *rc::gen::element<std::string>("m1", "m2", "m3", "m4");
       const std::string adapter = *rc::gen::element<std::string>("", "", "a1", "a2", "a3");
-      world.Demand(now, model, adapter, *rc::gen::inRange(0, 12), *rc::gen::inRange(0, 20),
-                   *rc::gen::inRange(0, 5));
-      for (const PlannedOrder& planned : world.Plan(now)) {
+      fixture.Demand(now, model, adapter, *rc::gen::inRange(0, 12), *rc::gen::inRange(0, 20),
+                     *rc::gen::inRange(0, 5));
+      for (const PlannedOrder& planned : fixture.Plan(now)) {
         const WorkerOrder& order = planned.order;
-        RC_ASSERT(order.expected_sequence == world.sequences[order.worker_id]);
+        RC_ASSERT(order.expected_sequence == fixture.sequences[order.worker_id]);
         if (order.kind == OrderKind::kLoad && order.adapter.empty()) {
           loads.push_back(now);
         }
         switch (*rc::gen::inRange(0, 4)) {
-          case 0:  // Not taken, and no answer.
-            world.placer.OnOutcome(order, OrderOutcome::kUnknown, At(now));
+          case 0:  // Not accepted, and no answer.
+            fixture.placer.OnOutcome(order, OrderOutcome::kUnknown, At(now));
             break;
-          case 1:  // Taken, and no answer.
-            world.Accept(order, now);
-            world.placer.OnOutcome(order, OrderOutcome::kUnknown, At(now));
+          case 1:  // Accepted, and no answer.
+            fixture.Accept(order, now);
+            fixture.placer.OnOutcome(order, OrderOutcome::kUnknown, At(now));
             break;
           default:
-            world.Accept(order, now);
+            fixture.Accept(order, now);
         }
-        const auto& models = world.workers[order.worker_id].record.models;
+        const auto& models = fixture.workers[order.worker_id].record.models;
         double used = 0;
         std::size_t slots = 0;
         for (const auto& [held, adapters] : models) {
@@ -271,26 +271,26 @@
   }));
 }
 
-// Guards against: each new holder begins with loads of its own on top of the store's rate.
+// Guards against exceeding the store's rate when each new holder begins with a full token bucket.
 TEST_CASE("property: the store's rate holds over changes of the holder") {
   CHECK(rc::check("holders in a row", [] {
-    PlacerWorld world(8, 0.3);
+    PlacerFixture fixture(8, 0.3);
     std::vector<double> loads;
     double now = 3;
     const int steps = *rc::gen::inRange(20, 120);
     for (int step = 0; step < steps; ++step) {
       now += *rc::gen::element(0.02, 0.1, 0.3, 0.7);
       if (*rc::gen::inRange(0, 3) == 0) {
-        world.placer.Begin(world.placer.weight_store().estimate(), At(now));
+        fixture.placer.Begin(fixture.placer.weight_store().estimate(), At(now));
       }
       const std::string model = *rc::gen::element<std::string>("m1", "m2", "m3", "m4");
-      world.Demand(now, model, "", *rc::gen::inRange(0, 12), *rc::gen::inRange(0, 20),
-                   *rc::gen::inRange(0, 5));
-      for (const PlannedOrder& planned : world.Plan(now)) {
+      fixture.Demand(now, model, "", *rc::gen::inRange(0, 12), *rc::gen::inRange(0, 20),
+                     *rc::gen::inRange(0, 5));
+      for (const PlannedOrder& planned : fixture.Plan(now)) {
         if (planned.order.kind == OrderKind::kLoad) {
           loads.push_back(now);
         }
-        world.Accept(planned.order, now);
+        fixture.Accept(planned.order, now);
       }
     }
     for (const double begin : loads) {
@@ -303,176 +303,177 @@
   }));
 }
 
-TEST_CASE("a busy model without a replica comes before a rare one") {
-  PlacerWorld world(1);
+TEST_CASE("a busy model without a replica comes before a rarely requested one") {
+  PlacerFixture fixture(1);
   DemandReport report;
   report.node = "n2";
   report.number = 1;
   report.demands.push_back({"s", "m2", "", 1, 0, 60, 60000});
-  world.placer.OnReport(report, At(5));
-  world.Demand(5, "m1", "", 1, 0, 1);
-  const auto orders = world.Plan(5);
+  fixture.placer.OnReport(report, At(5));
+  fixture.Demand(5, "m1", "", 1, 0, 1);
+  const auto orders = fixture.Plan(5);
   REQUIRE(!orders.empty());
   CHECK(orders.front().order.model == "m2");
 }
 
-TEST_CASE("a rare model does not take a replica that a busy one needs") {
-  PlacerWorld world(2);
-  world.Hold("w0", "m1");
-  world.Hold("w0", "m2");
-  world.Hold("w1", "m1");
-  world.Hold("w1", "m3");
-  // m1 fills two replicas; m2 and m3 are hardly asked for.
+TEST_CASE("a rarely requested model does not replace a replica that a busy one needs") {
+  PlacerFixture fixture(2);
+  fixture.Hold("w0", "m1");
+  fixture.Hold("w0", "m2");
+  fixture.Hold("w1", "m1");
+  fixture.Hold("w1", "m3");
+  // m1 needs both of its replicas; m2 and m3 are rarely requested.
   DemandReport report;
   report.node = "n2";
   report.number = 1;
   report.demands.push_back({"s", "m1", "", 0, 4, 100, 100000});
   report.demands.push_back({"s", "m2", "", 0, 0, 1, 1000});
   report.demands.push_back({"s", "m3", "", 0, 0, 1, 1000});
-  world.placer.OnReport(report, At(5));
-  world.Demand(5, "m4", "", 1, 0, 1);
-  for (const PlannedOrder& planned : world.Plan(5)) {
+  fixture.placer.OnReport(report, At(5));
+  fixture.Demand(5, "m4", "", 1, 0, 1);
+  for (const PlannedOrder& planned : fixture.Plan(5)) {
     CHECK(planned.order.kind == OrderKind::kUnload);
     CHECK(planned.order.model != "m1");
   }
 }
 
 TEST_CASE("a replica whose requests run is not the first to make room") {
-  PlacerWorld world(2);
-  world.Hold("w0", "m1");
-  world.Hold("w0", "m2");
-  world.Hold("w1", "m1");
-  world.Hold("w1", "m2");
+  PlacerFixture fixture(2);
+  fixture.Hold("w0", "m1");
+  fixture.Hold("w0", "m2");
+  fixture.Hold("w1", "m1");
+  fixture.Hold("w1", "m2");
   DemandReport report;
   report.node = "n2";
   report.number = 1;
   report.demands.push_back({"s", "m1", "", 0, 1, 1, 1000});
   report.demands.push_back({"s", "m2", "", 0, 1, 1, 1000});
   report.loads.push_back({"w0", 2, 0, {{"m1", 1}, {"m2", 1}}});
-  world.placer.OnReport(report, At(5));
-  world.Demand(5, "m4", "", 1, 0, 1);
-  const auto orders = world.Plan(5);
+  fixture.placer.OnReport(report, At(5));
+  fixture.Demand(5, "m4", "", 1, 0, 1);
+  const auto orders = fixture.Plan(5);
   REQUIRE(!orders.empty());
   CHECK(orders.front().order.kind == OrderKind::kUnload);
   CHECK(orders.front().order.worker_id == "w1");
 }
 
-TEST_CASE("a load keeps away from a worker whose adapters are asked for") {
-  PlacerWorld world(2);
-  world.Hold("w0", "m1");
-  world.Hold("w1", "m2");
+TEST_CASE("a load avoids a worker whose adapters are requested") {
+  PlacerFixture fixture(2);
+  fixture.Hold("w0", "m1");
+  fixture.Hold("w1", "m2");
   DemandReport report;
   report.node = "n2";
   report.number = 1;
   report.demands.push_back({"s", "m1", "a1", 0, 0, 6, 6000});
   report.demands.push_back({"s", "m2", "", 0, 0, 6, 6000});
-  world.placer.OnReport(report, At(5));
-  world.Demand(5, "m3", "", 1, 0, 1);
-  const auto orders = world.Plan(5);
+  fixture.placer.OnReport(report, At(5));
+  fixture.Demand(5, "m3", "", 1, 0, 1);
+  const auto orders = fixture.Plan(5);
   REQUIRE(!orders.empty());
   CHECK(orders.front().order.worker_id == "w1");
 }
 
-TEST_CASE("an adapter that requests still wait for is told again") {
-  PlacerWorld world(1);
-  world.Hold("w0", "m1");
-  world.Demand(5, "m1", "a1", 1, 0, 1);
-  for (const PlannedOrder& planned : world.Plan(5)) {
-    world.Accept(planned.order, 5);
+TEST_CASE("the update about an adapter is repeated while requests wait for it") {
+  PlacerFixture fixture(1);
+  fixture.Hold("w0", "m1");
+  fixture.Demand(5, "m1", "a1", 1, 0, 1);
+  for (const PlannedOrder& planned : fixture.Plan(5)) {
+    fixture.Accept(planned.order, 5);
   }
-  world.Plan(5.2);
-  REQUIRE(!world.placer.TakeNews(At(5.2)).empty());
-  world.Demand(5.3, "m1", "a1", 1, 0, 0);
-  world.Plan(5.3);
-  world.Demand(6.5, "m1", "a1", 1, 0, 0);
-  world.placer.Plan(world.configuration, world.workers, At(6.5));
-  const auto news = world.placer.TakeNews(At(6.5));
-  REQUIRE(news.size() == 1);
-  CHECK(news.front().adapter == "a1");
-  CHECK(news.front().state == ReplicaState::kReady);
+  fixture.Plan(5.2);
+  REQUIRE(!fixture.placer.TakeUpdates(At(5.2)).empty());
+  fixture.Demand(5.3, "m1", "a1", 1, 0, 0);
+  fixture.Plan(5.3);
+  fixture.Demand(6.5, "m1", "a1", 1, 0, 0);
+  fixture.placer.Plan(fixture.configuration, fixture.workers, At(6.5));
+  const auto updates = fixture.placer.TakeUpdates(At(6.5));
+  REQUIRE(updates.size() == 1);
+  CHECK(updates.front().adapter == "a1");
+  CHECK(updates.front().state == ReplicaState::kReady);
 }
 
-TEST_CASE("a node that restarts after its time of day was set back is heard") {
-  PlacerWorld world(1);
+TEST_CASE("reports of a node that restarts after its clock was set back are accepted") {
+  PlacerFixture fixture(1);
   DemandReport report;
   report.node = "n1";
   report.incarnation = 2000;
   report.number = 50;
-  world.placer.OnReport(report, At(5));
+  fixture.placer.OnReport(report, At(5));
   report.incarnation = 1000;
   report.number = 1;
   report.demands.push_back({"s", "m1", "", 1, 0, 1, 1000});
-  world.placer.OnReport(report, At(6));
-  CHECK(world.Plan(6).size() == 1);
+  fixture.placer.OnReport(report, At(6));
+  CHECK(fixture.Plan(6).size() == 1);
 }
 
-TEST_CASE("a load that outlasts its time by far still takes its room") {
-  PlacerWorld world(1);
-  world.Demand(5, "m1", "", 1, 0, 1);
-  const auto orders = world.Plan(5);
+TEST_CASE("a load that runs far longer than expected keeps its memory reserved") {
+  PlacerFixture fixture(1);
+  fixture.Demand(5, "m1", "", 1, 0, 1);
+  const auto orders = fixture.Plan(5);
   REQUIRE(orders.size() == 1);
-  // Taken, and under way for half a minute: the store is slow.
-  ++world.sequences["w0"];
-  world.busy["w0"] = true;
-  world.placer.OnOutcome(orders[0].order, OrderOutcome::kAccepted, At(5));
+  // The load was accepted and runs for half a minute because the store is slow.
+  ++fixture.sequences["w0"];
+  fixture.busy["w0"] = true;
+  fixture.placer.OnOutcome(orders[0].order, OrderOutcome::kAccepted, At(5));
   for (double now = 6; now < 36; now += 0.5) {
-    world.Demand(now, "m2", "", 1, 0, 1);
-    world.Demand(now, "m3", "", 1, 0, 1);
-    CHECK(world.Plan(now).empty());
+    fixture.Demand(now, "m2", "", 1, 0, 1);
+    fixture.Demand(now, "m3", "", 1, 0, 1);
+    CHECK(fixture.Plan(now).empty());
   }
-  // Room is left for one more of the two that are asked for.
-  world.busy["w0"] = false;
-  world.Hold("w0", "m1");
-  world.workers["w0"].row_version = 2;
+  // There is memory for one more of the two requested models.
+  fixture.busy["w0"] = false;
+  fixture.Hold("w0", "m1");
+  fixture.workers["w0"].row_version = 2;
   int loads = 0;
   for (double now = 36; now < 40; now += 0.5) {
-    world.Demand(now, "m2", "", 1, 0, 1);
-    world.Demand(now, "m3", "", 1, 0, 1);
-    for (const PlannedOrder& planned : world.Plan(now)) {
+    fixture.Demand(now, "m2", "", 1, 0, 1);
+    fixture.Demand(now, "m3", "", 1, 0, 1);
+    for (const PlannedOrder& planned : fixture.Plan(now)) {
       loads += planned.order.kind == OrderKind::kLoad ? 1 : 0;
     }
   }
   CHECK(loads == 1);
 }
 
-TEST_CASE("no room is made for a load that the weight store does not bear now") {
-  PlacerWorld world(6, 6.0);
+TEST_CASE("no room is made for a load beyond the weight store's capacity") {
+  PlacerFixture fixture(6, 6.0);
   for (int number = 0; number < 6; ++number) {
     const std::string id = "w" + std::to_string(number);
-    world.Hold(id, "m3");
-    world.Hold(id, "m4");
+    fixture.Hold(id, "m3");
+    fixture.Hold(id, "m4");
   }
-  world.Demand(5, "m1", "", 9, 0, 9);
-  world.Demand(5, "m2", "", 9, 0, 9);
+  fixture.Demand(5, "m1", "", 9, 0, 9);
+  fixture.Demand(5, "m2", "", 9, 0, 9);
   int unloads = 0;
   for (double now = 5; now < 7; now += 0.1) {
-    world.Demand(now, "m1", "", 40, 0, 9);
-    world.Demand(now, "m2", "", 40, 0, 9);
-    for (const PlannedOrder& planned : world.Plan(now)) {
+    fixture.Demand(now, "m1", "", 40, 0, 9);
+    fixture.Demand(now, "m2", "", 40, 0, 9);
+    for (const PlannedOrder& planned : fixture.Plan(now)) {
       unloads += planned.order.kind == OrderKind::kUnload ? 1 : 0;
     }
   }
   CHECK(unloads == 3);
 }
 
-// m2 waits for w0, which has the only copy of it and is busy, and the weight store bears no more
-// loads; then m1 is asked for more. Returns whether a further replica of m1 is begun.
+// m2 waits for w0, which holds the only copy of it and is busy, and the weight store has no
+// capacity for more loads. Then demand for m1 grows. Returns whether a further replica of m1 is
+// loaded.
 bool FurtherReplicaBesideWaitingCopy(bool yield) {
   FleetPlacerSettings settings;
   settings.policy.yield_to_copies = yield;
   settings.weight_store.first_limit = 2;
-  PlacerWorld world(5, 6.0);
-  world.placer = FleetPlacer(settings);
-  world.placer.Begin({}, At(0));
-  world.workers["w0"].record.copies_on_disk.insert("m2");
-  world.busy["w0"] = true;
-  world.Hold("w1", "m1");
-  world.workers["w2"].record.copies_on_disk.insert("m1");
+  PlacerFixture fixture(5, 6.0);
+  fixture.placer = FleetPlacer(settings);
+  fixture.placer.Begin({}, At(0));
+  fixture.workers["w0"].record.copies_on_disk.insert("m2");
+  fixture.busy["w0"] = true;
+  fixture.Hold("w1", "m1");
+  fixture.workers["w2"].record.copies_on_disk.insert("m1");
   bool further = false;
   for (double now = 5; now < 16; now += 0.25) {
     DemandReport report;
     report.node = "n1";
-    report.number = ++world.number;
+    report.number = ++fixture.number;
     report.demands.push_back({"s", "m3", "", 1, 0, 1, 1000});
     if (now > 5.5) {
       report.demands.push_back({"s", "m2", "", 1, 0, 1, 1000});
@@ -480,23 +481,23 @@
     if (now > 14) {
       report.demands.push_back({"s", "m1", "", 0, 20, 5, 5000});
     }
-    world.placer.OnReport(report, At(now));
-    for (const PlannedOrder& planned : world.Plan(now)) {
+    fixture.placer.OnReport(report, At(now));
+    for (const PlannedOrder& planned : fixture.Plan(now)) {
       further = further || planned.reason == "further replica";
-      ++world.sequences[planned.order.worker_id];
-      world.busy[planned.order.worker_id] = true;
-      world.placer.OnOutcome(planned.order, OrderOutcome::kAccepted, At(now));
+      ++fixture.sequences[planned.order.worker_id];
+      fixture.busy[planned.order.worker_id] = true;
+      fixture.placer.OnOutcome(planned.order, OrderOutcome::kAccepted, At(now));
     }
   }
   return further;
 }
 
-TEST_CASE("further replicas make way while models wait for a worker with their copy") {
+TEST_CASE("no further replicas are loaded while models wait for a worker with their copy") {
   CHECK(FurtherReplicaBesideWaitingCopy(false));
   CHECK(!FurtherReplicaBesideWaitingCopy(true));
 }
 
-TEST_CASE("loads from the weight store yield the part that the workers can't spare") {
+TEST_CASE("loads from the weight store are limited to the given fraction") {
   WeightStoreLimitSettings settings;
   settings.first_limit = 4;
   WeightStoreLimit limit(settings);
@@ -504,15 +505,15 @@
   CHECK(limit.MayBegin(0, 1, At(0)));
   CHECK(!limit.MayBegin(0, 0.3, At(0)));
   limit.LoadEnded("w1", At(6));
-  // One is always allowed.
+  // One load is always allowed.
   CHECK(limit.MayBegin(0, 0, At(6)));
 }
 
-TEST_CASE("models whose load can't begin yet are told when they are expected") {
-  PlacerWorld world(4, 6.0);
-  // Three at once; the fourth model begins after them.
+TEST_CASE("the expected time is announced for models whose load can't begin yet") {
+  PlacerFixture fixture(4, 6.0);
+  // Three loads run at once; the fourth model follows after them.
   for (const char* const model : {"m1", "m2", "m3", "m4"}) {
-    world.Demand(5, model, "", 1, 0, 1);
+    fixture.Demand(5, model, "", 1, 0, 1);
   }
   DemandReport report;
   report.node = "n2";
@@ -520,20 +521,20 @@
   for (const char* const model : {"m1", "m2", "m3", "m4"}) {
     report.demands.push_back({"s", model, "", 1, 0, 1, 1000});
   }
-  world.placer.OnReport(report, At(5));
+  fixture.placer.OnReport(report, At(5));
   int loads = 0;
   for (double now = 5; now < 6; now += 0.1) {
-    for (const PlannedOrder& planned : world.Plan(now)) {
+    for (const PlannedOrder& planned : fixture.Plan(now)) {
       ++loads;
-      ++world.sequences[planned.order.worker_id];
-      world.busy[planned.order.worker_id] = true;
-      world.placer.OnOutcome(planned.order, OrderOutcome::kAccepted, At(now));
+      ++fixture.sequences[planned.order.worker_id];
+      fixture.busy[planned.order.worker_id] = true;
+      fixture.placer.OnOutcome(planned.order, OrderOutcome::kAccepted, At(now));
     }
   }
   CHECK(loads == 3);
   std::map<std::string, int> expected_ms;
-  for (const ReplicaNews& news : world.placer.TakeNews(At(6))) {
-    expected_ms[news.model] = news.expected_in_ms;
+  for (const ReplicaUpdate& update : fixture.placer.TakeUpdates(At(6))) {
+    expected_ms[update.model] = update.expected_in_ms;
   }
   REQUIRE(expected_ms.size() == 4);
   int later = 0;
--- a/tests/fleet/lease_manager_test.cc
+++ b/tests/fleet/lease_manager_test.cc
@@ -41,7 +41,8 @@
   CHECK(lease.token() == 7);
 }
 
-TEST_CASE("another machine's lease is taken over only when its row has long been unchanged") {
+TEST_CASE(
+    "another machine's lease is taken over only after its row has been unchanged for long enough") {
   LeaseManager lease(SettingsOf("n2"));
   const LeaseRecord other{"n1", 1, "n1", 5};
   lease.OnRead(other, 5, At(0));
@@ -53,13 +54,14 @@
   CHECK(write->condition_version == 6);
 }
 
-TEST_CASE("a renewal's answer that comes after the lease was lost does not bring it back") {
+TEST_CASE("a renewal's answer that arrives after the lease was lost does not restore it") {
   LeaseManager lease(SettingsOf("n1"));
   lease.OnRead(std::nullopt, 0, At(0));
   REQUIRE(lease.NextWrite(At(0)).has_value());
   lease.OnCommitted(7, At(0));
   REQUIRE(lease.NextWrite(At(1.1)).has_value());
-  // Done at version 8; then another node takes over at 9 and orders, which a worker tells first.
+  // The renewal takes effect at version 8. Then another node takes over at version 9 and orders,
+  // and a worker is the first to report the higher token.
   lease.OnFenced(At(1.5));
   lease.OnCommitted(8, At(1.6));
   CHECK(!lease.holding());
@@ -67,7 +69,7 @@
   CHECK(lease.needs_read());
 }
 
-TEST_CASE("a node that is less suited lets others come first") {
+TEST_CASE("a less suited node lets others acquire the lease first") {
   LeaseManager lease(SettingsOf("n2"));
   lease.SetExtraWait(absl::Seconds(2));
   lease.OnRead(std::nullopt, 0, At(0));
@@ -100,7 +102,7 @@
   CHECK(lease.token() == 12);
 }
 
-TEST_CASE("a write without an answer is settled by the row") {
+TEST_CASE("the outcome of a write without an answer is read from the row") {
   LeaseManager lease(SettingsOf("n1"));
   lease.OnRead(std::nullopt, 0, At(0));
   REQUIRE(lease.NextWrite(At(0)).has_value());
@@ -109,7 +111,7 @@
   CHECK(!lease.NextWrite(At(1)).has_value());
   lease.OnRead(LeaseRecord{"n1", 1, "n1", 0}, 4, At(2));
   CHECK(lease.token() == 4);
-  // Not confirmed by an answer yet: a renewal does that.
+  // The write is not confirmed by an answer yet; a renewal confirms it.
   CHECK(!lease.MayOrder(At(2)));
   REQUIRE(lease.NextWrite(At(2)).has_value());
   lease.OnCommitted(5, At(2.1));
@@ -128,7 +130,7 @@
   CHECK(!lease.holding());
 }
 
-TEST_CASE("after a pause the lease counts only once it is confirmed anew") {
+TEST_CASE("after a pause the lease is valid only once it is confirmed again") {
   LeaseManager lease(SettingsOf("n1"));
   lease.OnRead(std::nullopt, 0, At(0));
   REQUIRE(lease.NextWrite(At(0)).has_value());
@@ -158,7 +160,7 @@
   return settings;
 }
 
-TEST_CASE("where workers check tokens, a holder cut from the store goes on ordering") {
+TEST_CASE("where workers check tokens, a holder cut off from the store keeps ordering") {
   LeaseManager lease(SettingsOf("n1"));
   lease.OnRead(std::nullopt, 0, At(0));
   REQUIRE(lease.NextWrite(At(0)).has_value());
@@ -166,7 +168,9 @@
   CHECK(lease.MayOrder(At(9)));
 }
 
-TEST_CASE("where they don't, it stops before its lease ends, counted from the renewal's sending") {
+TEST_CASE(
+    "where workers check no tokens, a holder stops before its lease ends, counted from the sending "
+    "of the renewal") {
   LeaseManager lease(UncheckedSettingsOf("n1"));
   lease.OnRead(std::nullopt, 0, At(0));
   REQUIRE(lease.NextWrite(At(0)).has_value());
@@ -175,15 +179,18 @@
   CHECK(!lease.MayOrder(At(2.1)));
 }
 
-TEST_CASE("where they don't, a takeover waits for the former holder's last order to be old") {
+TEST_CASE(
+    "where workers check no tokens, a takeover waits until the former holder's last order is old") {
   LeaseManager lease(UncheckedSettingsOf("n2"));
   lease.OnRead(LeaseRecord{"n1", 1, "n1", 5}, 5, At(0));
   CHECK(!lease.NextWrite(At(5.4)).has_value());
   CHECK(lease.NextWrite(At(6)).has_value());
 }
 
-// Guards against: an order of the process before this one reaches a worker after a newer one.
-TEST_CASE("where they don't, a restarted process lets its predecessor's orders arrive first") {
+// Guards against an order of the previous process reaching a worker after a newer one.
+TEST_CASE(
+    "where workers check no tokens, a restarted process lets its predecessor's orders arrive "
+    "first") {
   LeaseSettings settings = UncheckedSettingsOf("n1", 2);
   settings.order_transit = absl::Milliseconds(500);
   LeaseManager lease(settings);
@@ -195,7 +202,7 @@
   CHECK(write->condition_version == 8);
 }
 
-TEST_CASE("a renewal without an answer is repeated soon, and confirms the lease again") {
+TEST_CASE("a renewal without an answer is retried soon and confirms the lease again") {
   LeaseManager lease(UncheckedSettingsOf("n1"));
   lease.OnRead(std::nullopt, 0, At(0));
   REQUIRE(lease.NextWrite(At(0)).has_value());
@@ -208,8 +215,8 @@
   CHECK(lease.MayOrder(At(2.5)));
 }
 
-// A store with one row that loses answers, does writes late, and does not answer at times.
-struct ModelStore {
+// Simulated store with one row. Its answers can get lost, and its writes can take effect late.
+struct SimulatedStore {
   std::optional<LeaseRecord> record;
   std::uint64_t row_version = 0;
   std::uint64_t version = 0;
@@ -226,7 +233,7 @@
 
 TEST_CASE("property: tokens are never shared, and the one in the store is the newest") {
   CHECK(rc::check("leases under lost, late and refused calls", [] {
-    ModelStore store;
+    SimulatedStore store;
     std::vector<LeaseManager> nodes;
     for (const char* const name : {"n1", "n2", "n3"}) {
       nodes.emplace_back(SettingsOf(name));
@@ -295,7 +302,7 @@
 
 TEST_CASE("property: where workers check no tokens, orders of two machines are a lease apart") {
   CHECK(rc::check("holders under lost, late and refused calls, pauses and restarts", [] {
-    ModelStore store;
+    SimulatedStore store;
     const std::vector<std::string> names = {"n1", "n2", "n3"};
     std::vector<LeaseManager> nodes;
     for (const std::string& name : names) {
@@ -304,7 +311,7 @@
     const LeaseSettings settings = UncheckedSettingsOf("any");
     std::uint64_t incarnation = 1;
     std::deque<LeaseManager::Write> late;
-    // When the last order of each machine arrived at the latest.
+    // Latest time at which the last order of each machine arrived.
     std::vector<absl::Time> arrived(nodes.size(), absl::InfinitePast());
     double now = 0;
     const int steps = *rc::gen::inRange(20, 300);
@@ -336,13 +343,13 @@
           if (!write.has_value()) {
             break;
           }
-          const int fate = *rc::gen::inRange(0, 8);
-          if (fate == 0) {
+          const int outcome = *rc::gen::inRange(0, 8);
+          if (outcome == 0) {
             late.push_back(*write);
           }
-          const bool done = fate > 1 && store.Apply(*write);
+          const bool done = outcome > 1 && store.Apply(*write);
           const double answered = now + *rc::gen::element(0.01, 0.4, 1.2);
-          if (fate <= 2) {
+          if (outcome <= 2) {
             node.OnCommitFailed(At(answered));
           } else if (done) {
             node.OnCommitted(store.row_version, At(answered));
--- a/tests/fleet/shared_reading_test.cc
+++ b/tests/fleet/shared_reading_test.cc
@@ -13,7 +13,7 @@
 
 constexpr absl::Duration kLimit = absl::Seconds(10);
 
-// A store whose state the test sets; it counts calls.
+// Store whose rows the test sets; counts calls.
 class CountedStore : public SharedStore {
  public:
   explicit CountedStore(EventLoop* loop) : loop_(loop) {}
@@ -57,8 +57,8 @@
     SharedReadingSettings settings;
     settings.node = name;
     settings.zone = "z";
-    settings.most_nodes_without_readers = 1;
-    settings.readers_each_zone = 2;
+    settings.max_nodes_without_readers = 1;
+    settings.readers_per_zone = 2;
     return settings;
   }
   CountedStore store;
@@ -96,7 +96,7 @@
   }
 };
 
-TEST_CASE("the node with the widest link reads, the other asks it") {
+TEST_CASE("the node with the widest link reads the store, the other reads from it") {
   Fixture fixture;
   fixture.SetNodes();
   CHECK(fixture.wide.reading.reads_itself());
@@ -109,7 +109,7 @@
   CHECK(fixture.thin.store.calls == 0);
 }
 
-TEST_CASE("a node whose reader has no copy reads by itself") {
+TEST_CASE("a node whose reader has no copy reads the store itself") {
   Fixture fixture;
   fixture.SetNodes();
   fixture.thin.store.Put("a");
@@ -119,22 +119,22 @@
   CHECK(fixture.thin.store.calls == 1);
 }
 
-TEST_CASE("a node that becomes a reader has no gap from the time when it was none") {
+TEST_CASE("a node that becomes a reader has no gap in its copy") {
   Fixture fixture;
-  // Everybody reads at first.
+  // At first each node reads the store itself.
   REQUIRE(fixture.Read(&fixture.thin).ok());
   REQUIRE(fixture.Read(&fixture.wide).ok());
   fixture.SetNodes();
   fixture.wide.store.Put("a");
   fixture.thin.store.Put("a");
   REQUIRE(fixture.Watch(&fixture.wide, 1).ok());
-  const auto told = fixture.Watch(&fixture.thin, 1);
-  REQUIRE(told.ok());
-  REQUIRE(told->rows.size() == 1);
-  // The wide one leaves; a third asks the thin one, which goes on from where it was.
+  const auto changes = fixture.Watch(&fixture.thin, 1);
+  REQUIRE(changes.ok());
+  REQUIRE(changes->rows.size() == 1);
+  // The wide node leaves. A third node asks the thin one, which continues from its copy.
   fixture.thin.reading.SetNodes(
       {{"thin", "z", fixture.thin.reading.address(), 10}, {"third", "z", "127.0.0.1:1", 5}});
-  REQUIRE(fixture.Watch(&fixture.thin, told->version).ok());
+  REQUIRE(fixture.Watch(&fixture.thin, changes->version).ok());
   Node third(&fixture.loop, "third");
   third.reading.SetNodes({{"thin", "z", fixture.thin.reading.address(), 10},
                           {"third", "z", third.reading.address(), 5}});
@@ -144,7 +144,7 @@
   CHECK(third.store.calls == 0);
 }
 
-TEST_CASE("while the reader fails, its substitute reads and the others ask that one") {
+TEST_CASE("while the reader fails, its substitute reads the store and the others read from it") {
   EventLoop loop;
   auto reader = std::make_unique<Node>(&loop, "a");
   Node substitute(&loop, "b");
@@ -166,7 +166,7 @@
   };
   CHECK(!substitute.reading.reads_itself());
   reader.reset();
-  // The first question of each fails at the reader, and each reads by itself once.
+  // The first request of each node fails at the reader, and each then reads the store itself once.
   read(&substitute);
   read(&other);
   CHECK(substitute.store.calls == 1);
@@ -177,20 +177,21 @@
   CHECK(other.store.calls == 1);
 }
 
-TEST_CASE("a reader lets changes come together before it asks for more") {
+TEST_CASE("a reader pauses after changes before it watches again") {
   Fixture fixture;
   fixture.SetNodes();
   fixture.wide.store.Put("a");
   REQUIRE(fixture.Read(&fixture.wide).ok());
   REQUIRE(fixture.Watch(&fixture.wide, 1).ok());
   const int before = fixture.wide.store.calls;
-  bool told = false;
-  fixture.wide.reading.Watch("t", 2, absl::Seconds(20), [&](Result<StoreRows>) { told = true; });
-  // Another question goes out and is answered meanwhile.
+  bool answered = false;
+  fixture.wide.reading.Watch("t", 2, absl::Seconds(20),
+                             [&](Result<StoreRows>) { answered = true; });
+  // Another call to the store is sent and answered in the meantime.
   REQUIRE(fixture.Read(&fixture.wide).ok());
   CHECK(fixture.wide.store.calls == before + 1);
-  CHECK(!told);
-  REQUIRE(fixture.loop.RunUntil([&] { return told; }, kLimit));
+  CHECK(!answered);
+  REQUIRE(fixture.loop.RunUntil([&] { return answered; }, kLimit));
 }
 
 }  // namespace
