--- a/include/hingespan/fleet/fleet_coordinator.h
+++ b/include/hingespan/fleet/fleet_coordinator.h
@@ -74,7 +74,7 @@
   // Fills a report with the demand of this node's callers and the requests it runs at workers.
   std::function<void(DemandReport*)> fill_report;
   // Called after replicas or loads have changed.
-  std::function<void()> on_news;
+  std::function<void()> on_update;
   // Called with all nodes of the fleet, as of a read that started at `read_started`.
   std::function<void(const std::vector<FleetNode>& nodes, absl::Time read_started)> on_nodes;
 };
--- a/include/hingespan/fleet/fleet_placer.h
+++ b/include/hingespan/fleet/fleet_placer.h
@@ -60,7 +60,7 @@
   // Interval at which the update about a loaded adapter is repeated while requests wait for it.
   absl::Duration update_repeat_interval = absl::Milliseconds(600);
   // Age up to which a replica has the additional value `fresh_replica_value`.
-  absl::Duration least_residence = absl::Milliseconds(1000);
+  absl::Duration fresh_replica_time = absl::Milliseconds(1000);
   WeightStoreLimitSettings weight_store;
 };
 
--- a/src/fleet/fleet_coordinator_placement.cc
+++ b/src/fleet/fleet_coordinator_placement.cc
@@ -66,7 +66,7 @@
     }
     parts_.workers->SetPeersLoads(loads, now);
   }
-  parts_.on_news();
+  parts_.on_update();
 }
 
 absl::Time FleetCoordinator::ExpectedReady(const ModelKey& model) const {
--- a/src/fleet/fleet_placer_choice.cc
+++ b/src/fleet/fleet_placer_choice.cc
@@ -130,7 +130,7 @@
   }
   const auto loaded = ledger.loaded_at.find(ModelKey{model, ""});
   if (loaded != ledger.loaded_at.end() &&
-      context.now - loaded->second < settings_.least_residence) {
+      context.now - loaded->second < settings_.fresh_replica_time) {
     value += settings_.policy.fresh_replica_value;
   }
   return value;
--- a/src/serving/gateway.cc
+++ b/src/serving/gateway.cc
@@ -44,7 +44,7 @@
   fleet.placer.policy = settings.placement;
   fleet.placer.weight_store = settings.weight_store;
   fleet.placer.requests_for_each_replica = settings.requests_for_each_replica;
-  fleet.placer.least_residence = settings.fresh_replica;
+  fleet.placer.fresh_replica_time = settings.fresh_replica;
   return fleet;
 }
 
@@ -134,7 +134,7 @@
     peers_.Send(address, bytes);
   };
   fleet_parts.fill_report = [this](DemandReport* report) { FillReport(report); };
-  fleet_parts.on_news = [this] {
+  fleet_parts.on_update = [this] {
     for (const std::shared_ptr<RequestRelay>& request : queue_.InOrder()) {
       request->OnNews();
     }
--- a/tests/fleet/fleet_coordinator_test.cc
+++ b/tests/fleet/fleet_coordinator_test.cc
@@ -159,7 +159,7 @@
       report->loads.push_back({"w", running, 0, {}});
     }
   };
-  parts.on_news = [] {};
+  parts.on_update = [] {};
   parts.on_nodes = [](const std::vector<FleetNode>&, absl::Time) {};
   coordinator = std::make_unique<FleetCoordinator>(std::move(settings), std::move(parts));
   coordinator->SetConfiguration(std::make_shared<const Configuration>());
