--- a/include/hingespan/membership/duties.h
+++ b/include/hingespan/membership/duties.h
@@ -1,4 +1,4 @@
-// Who does what in a zone: rendezvous hashing of duties over the members that may hold them.
+// Assigns duties in a zone by rendezvous hashing over the members that may hold them.
 #ifndef HINGESPAN_MEMBERSHIP_DUTIES_H_
 #define HINGESPAN_MEMBERSHIP_DUTIES_H_
 
@@ -11,25 +11,25 @@
 namespace hingespan {
 
 enum class Duty {
-  // Orders the engine of one worker. Name: worker id.
+  // Sends orders to the engine of one worker. Name: worker id.
   kKeeper,
-  // Decides where replicas of one row go in this zone. Name: model name.
+  // Decides where replicas of one row are placed in this zone. Name: model name.
   kPlacer,
-  // Owns a key range of this zone. Name: the range's number.
+  // Owns a key range of this zone. Name: number of the range.
   kKeyRange,
   // Reads changes and the machine list from the platform for the zone. Name: empty.
   kPlatformReader,
-  // Shares out the zone's weight-store permits. Name: empty.
+  // Distributes the zone's weight-store permits. Name: empty.
   kPermitHolder,
 };
 
-// The member with the highest hash of (duty, name, member); empty when there is no member.
-// A member that comes or goes moves only its own share.
+// Returns the member with the highest hash of (duty, name, member); empty if there are no members.
+// When a member joins or leaves, only its own share moves.
 NodeId DutyHolder(Duty duty, std::string_view name, const std::vector<NodeId>& members);
-// Whether DutyHolder is `node`; stops at the first member that is preferred to it.
+// Returns true if DutyHolder is `node`; stops at the first member that ranks above it.
 bool HoldsDuty(const NodeId& node, Duty duty, std::string_view name,
                const std::vector<NodeId>& members);
-// What members are ranked by.
+// Returns the key by which members are ranked.
 RendezvousKey DutyKey(Duty duty, std::string_view name);
 
 }  // namespace hingespan
--- a/include/hingespan/membership/duty_takeover.h
+++ b/include/hingespan/membership/duty_takeover.h
@@ -1,5 +1,6 @@
-// Which names' duty may have come to a node by changes of the members. With rendezvous hashing,
-// only a name whose former holder has gone, or any name when the node itself has just come.
+// Finds the names whose duty may have moved to a node after the members changed. With rendezvous
+// hashing these are only names whose former holder has gone, or all names if the node itself has
+// just joined.
 #ifndef HINGESPAN_MEMBERSHIP_DUTY_TAKEOVER_H_
 #define HINGESPAN_MEMBERSHIP_DUTY_TAKEOVER_H_
 
@@ -12,17 +13,18 @@
 
 namespace hingespan {
 
-// Not thread-safe. Changes add up until Settle, so that a member that came and went between two
-// looks does not hide what it held for a moment.
+// Not thread-safe. Changes accumulate until Settle, so that a member that joined and left
+// between two checks does not hide the names it held for a moment.
 class DutyTakeover {
  public:
   DutyTakeover(Duty duty, NodeId self) : duty_(duty), self_(std::move(self)) {}
 
-  // Returns whether the change may have brought names.
+  // Returns true if the change may have moved names to this node.
   bool SetMembers(const std::vector<NodeId>& members);
-  // Whether the node holds the duty of `name` and may not have held it at some time since Settle.
+  // Returns true if the node holds the duty of `name` and may not have held it at some time since
+  // Settle.
   bool HasCome(std::string_view name) const;
-  // All names were looked at.
+  // Called after all names have been checked.
   void Settle();
 
  private:
@@ -31,7 +33,7 @@
   std::vector<NodeId> members_;
   // Members since Settle that have gone.
   absl::btree_set<NodeId> gone_;
-  // The node was no member at some time since Settle.
+  // True if the node was not a member at some time since Settle.
   bool was_absent_ = false;
 };
 
--- a/include/hingespan/membership/membership.h
+++ b/include/hingespan/membership/membership.h
@@ -1,10 +1,10 @@
-// Membership of a zone: SWIM-like probes, indirect probes, suspicion, incarnations.
+// Membership of a zone, based on SWIM: probes, indirect probes, suspicion and incarnations.
 //
-// What is known of a member is ordered by (incarnation, refutation, state); the larger one replaces
-// the smaller one wherever they meet. A member that hears of its own suspicion or death raises its
-// refutation, so that its own word is the larger one again. A restarted member has a larger
-// incarnation. Every probe and answer carries the sender's own state, what the receiver should know
-// about itself, and the states that were passed on least often.
+// States of a member are ordered by (incarnation, refutation, state); wherever two states meet, the
+// larger one replaces the smaller one. A member that learns of its own suspicion or death increases
+// its refutation, so that its own state is the larger one again. A restarted member has a larger
+// incarnation. Every probe and every answer carries the sender's own state, the receiver's state
+// unless it is alive, and the states that were sent least often.
 #ifndef HINGESPAN_MEMBERSHIP_MEMBERSHIP_H_
 #define HINGESPAN_MEMBERSHIP_MEMBERSHIP_H_
 
@@ -23,19 +23,20 @@
 
 struct MembershipOptions {
   absl::Duration probe_interval = absl::Seconds(1);
-  // Without an answer for this long, others are asked to probe.
+  // Time without an answer after which other members are asked to probe.
   absl::Duration probe_timeout = absl::Milliseconds(300);
   int indirect_probes = 2;
-  // A suspect that does not refute for this long is dead.
+  // A suspect that does not refute within this time is declared dead.
   absl::Duration suspicion_timeout = absl::Seconds(3);
-  // A dead or left member is forgotten after this long.
+  // A dead or left member is forgotten after this time.
   absl::Duration forget_after = absl::Minutes(5);
-  // Updates carried by one probe or answer at most.
+  // Maximum number of updates in one probe or answer.
   int updates_per_message = 8;
-  // How often a joined node exchanges all states with one seed; heals a zone that was split for
-  // longer than `forget_after`.
+  // Interval at which a joined node exchanges all states with one seed. This merges a zone that was
+  // partitioned for longer than `forget_after`.
   absl::Duration exchange_interval = absl::Seconds(30);
-  // A node that no seed answers for this long counts as joined: it may be the first of its zone.
+  // A node counts as joined if no seed has answered for this long, as it may be the first of its
+  // zone.
   absl::Duration join_alone_after = absl::Seconds(5);
 };
 
@@ -44,40 +45,43 @@
  public:
   Membership(MemberUpdate self, MembershipOptions options, std::uint64_t seed);
 
-  // Asks the seeds (control addresses) to let this node in; Tick repeats it until one answers, and
-  // later asks one of them from time to time. May be called again with newer addresses.
+  // Asks the seeds (control addresses) to admit this node. Tick repeats the request until one
+  // answers, and later sends it to one of them periodically. May be called again with newer
+  // addresses.
   void Join(std::vector<std::string> seeds, absl::Time now, Outbox* outbox);
-  // To be called at least every probe_timeout. After a longer gap this node was paused itself: the
-  // suspicions it holds start anew, as it could not hear refutations.
+  // Must be called at least every probe_timeout. A longer gap means that this node itself was
+  // paused; its suspicions then restart, as it could not receive refutations.
   void Tick(absl::Time now, Outbox* outbox);
-  // Handles Probe, ProbeAck, IndirectProbe*, Join*; any other message counts as a sign of life.
+  // Handles Probe, ProbeAck, IndirectProbe* and Join*. Any other message only confirms that the
+  // sender is alive.
   void Handle(const Envelope& envelope, absl::Time now, Outbox* outbox);
-  // Announces a planned stop to all peers: kLeaving hands duties over, kLeft is said last. After
-  // kLeft this node neither probes nor answers.
+  // Announces a planned stop to all peers: kLeaving hands over the duties, kLeft is announced last.
+  // After kLeft this node neither probes nor answers.
   void SetSelfState(MemberState state, absl::Time now, Outbox* outbox);
 
-  // Members that may hold duties: kAlive and kSuspect, sorted by id. Includes self unless leaving.
+  // Members that may hold duties: those in kAlive and kSuspect, sorted by id. Includes this node
+  // unless it is leaving.
   const std::vector<NodeId>& duty_holders() const { return duty_holders_; }
-  // Members that receive broadcasts: all but kLeft and kDead, without self, sorted.
+  // Members that receive broadcasts: all except kLeft, kDead and this node, sorted by id.
   const std::vector<NodeId>& peers() const { return peers_; }
-  // Null when unknown.
+  // Returns null if the member is unknown.
   const MemberUpdate* Find(const NodeId& node) const;
   const MemberUpdate& self() const { return self_; }
   bool joined() const { return joined_; }
-  // Counts changes of duty_holders().
+  // Number of changes of duty_holders() so far.
   std::uint64_t view_version() const { return view_version_; }
 
-  // Rides on probes and answers; see RecordSync.
+  // Sets the table revision that is sent with probes and answers; see RecordSync.
   void SetTableRevision(TableRevision revision) { table_revision_ = revision; }
 
  private:
   struct Member {
     MemberUpdate update;
-    // When `update.state` was learnt.
+    // Time at which `update.state` was learned.
     absl::Time state_since;
-    // Since when the member is suspected by this node; InfiniteFuture while it is not.
+    // Time since which this node suspects the member; InfiniteFuture if it does not.
     absl::Time suspected_since = absl::InfiniteFuture();
-    // How often the present state was passed on.
+    // Number of times that the current state was sent.
     int transmissions = 0;
   };
   struct OutstandingProbe {
@@ -85,9 +89,9 @@
     std::uint64_t sequence = 0;
     absl::Time sent_at;
     bool indirect_sent = false;
-    // Set when probing on behalf of another node.
-    NodeId asked_by;
-    std::uint64_t asked_sequence = 0;
+    // Set if the probe was sent on behalf of another node.
+    NodeId requested_by;
+    std::uint64_t requester_sequence = 0;
   };
 
   void HandleProbe(const Envelope& envelope, const Probe& probe, absl::Time now, Outbox* outbox);
@@ -99,18 +103,19 @@
   void MergeAll(const std::vector<MemberUpdate>& updates, absl::Time now);
   void Merge(const MemberUpdate& update, absl::Time now);
   void RefuteIfNeeded(const MemberUpdate& update);
-  // A message came from this run of the node: it is not silent.
+  // Called for each message of this incarnation of the node, which shows that it is alive.
   void ConfirmAlive(const NodeId& node, NodeIncarnation incarnation, absl::Time now);
-  // False when the member is suspected already, or gone.
+  // Returns false if the member is already suspected, or gone.
   bool Suspect(const NodeId& node, absl::Time now);
   OutstandingProbe& SendProbe(const NodeId& target, absl::Time now, Outbox* outbox);
   void CheckOutstanding(absl::Time now, Outbox* outbox);
-  void AskOthersToProbe(const OutstandingProbe& probe, Outbox* outbox);
+  void RequestIndirectProbes(const OutstandingProbe& probe, Outbox* outbox);
   void ExpireSuspects(absl::Time now);
   void ForgetMembers(absl::Time now);
   void RestartTimersAfterPause(absl::Time now);
   void SendJoinRequests(absl::Time now, Outbox* outbox);
-  // The next peer of a shuffled round; from time to time a dead member, which may be back.
+  // Returns the next peer of a shuffled round, or occasionally a dead member, which may have come
+  // back.
   NodeId NextTarget();
   std::vector<MemberUpdate> TakeUpdates(const NodeId& receiver);
   int TransmissionLimit() const;
@@ -132,7 +137,7 @@
   std::uint64_t next_sequence_ = 1;
   std::uint64_t view_version_ = 1;
   bool joined_ = false;
-  // The members changed since the views were built.
+  // True if members have changed since the views were built.
   bool views_stale_ = true;
   TableRevision table_revision_;
 };
--- a/include/hingespan/membership/record_sync.h
+++ b/include/hingespan/membership/record_sync.h
@@ -1,5 +1,5 @@
-// Keeps a node's RecordStore up to date: from the platform (the zone's reader), from zone peers,
-// and from a node of another zone when the platform can't be reached.
+// Keeps a node's RecordStore up to date from the platform (on the zone's reader), from zone peers,
+// and from a node of another zone while the platform is unreachable.
 #ifndef HINGESPAN_MEMBERSHIP_RECORD_SYNC_H_
 #define HINGESPAN_MEMBERSHIP_RECORD_SYNC_H_
 
@@ -17,23 +17,24 @@
 namespace hingespan {
 
 struct RecordSyncOptions {
-  // How often the zone's reader asks the platform for changes.
+  // Interval at which the zone's reader reads changes from the platform.
   absl::Duration read_interval = absl::Milliseconds(500);
-  // How often the reader exchanges revisions with one node of another zone.
+  // Interval at which the reader exchanges revisions with one node of another zone.
   absl::Duration cross_zone_interval = absl::Seconds(2);
-  // How often a node that is behind asks again.
+  // Interval at which a node that is behind repeats its fetch.
   absl::Duration fetch_interval = absl::Milliseconds(200);
-  // Reader that got errors waits between this and ten times as long, doubling.
+  // Initial backoff of the reader after an error; doubles up to ten times this value.
   absl::Duration error_backoff = absl::Milliseconds(500);
-  // A node that is not ready asks its peers for a snapshot, and reads the platform (as the reader)
-  // only once a page was awaited in vain for this long, or after the limit in all.
-  absl::Duration snapshot_patience = absl::Seconds(1);
-  absl::Duration snapshot_limit = absl::Seconds(5);
-  // A platform call whose answer did not come for this long is given up.
+  // A node that is not ready requests a snapshot from its peers. The reader reads the platform
+  // instead if no page has arrived for snapshot_progress_timeout, or after snapshot_timeout in
+  // total.
+  absl::Duration snapshot_progress_timeout = absl::Seconds(1);
+  absl::Duration snapshot_timeout = absl::Seconds(5);
+  // A platform call without an answer is abandoned after this time.
   absl::Duration answer_timeout = absl::Seconds(15);
 };
 
-// A change of the platform whose record could not be read: its key keeps the earlier value.
+// Change read from the platform whose record could not be decoded; its key keeps the earlier value.
 struct UndecodedRecord {
   std::string key;
   TableRevision revision;
@@ -43,16 +44,16 @@
 
 // Not thread-safe. Spec action: ApplyChanges (through RecordStore).
 //
-// A node that is behind fetches a few pages at a time. Only a node that is ready answers a fetch or
-// pushes, so that two fresh nodes do not take each other's empty tables for the truth. Pages are
-// split between revisions only: one transaction that is larger than a datagram is sent as one
-// larger message, in fragments, so a transaction has to stay below kMaximumMessageBytes.
+// A node that is behind fetches a few pages at a time. Only a ready node answers a fetch or pushes
+// changes, so that two new nodes do not accept each other's empty tables as complete. Pages are
+// split only between revisions: a transaction that is larger than a datagram is sent as one larger
+// message, in fragments, so a transaction must stay below kMaximumMessageBytes.
 class RecordSync {
  public:
   RecordSync(RecordStore* store, RecordSyncOptions options, std::uint64_t seed);
 
-  // `is_reader`: this node is its zone's kPlatformReader. `peers`: zone peers to push changes to.
-  // `other_zones`: nodes of other zones (any number; one is picked).
+  // `is_reader` is true if this node is its zone's kPlatformReader. `peers` are the zone peers to
+  // push changes to. `other_zones` are nodes of other zones; one of them is chosen at random.
   void Tick(bool is_reader, const std::vector<NodeId>& peers,
             const std::vector<NodeId>& other_zones, absl::Time now, Outbox* outbox);
   // Handles RecordFetch and RecordChanges, and the revision in Probe and ProbeAck.
@@ -60,35 +61,37 @@
   void HandleAnswer(const PlatformAnswer& answer, const std::vector<NodeId>& peers, absl::Time now,
                     Outbox* outbox);
 
-  // Whether this node has caught up with something since its start: it may serve.
+  // True if this node has caught up with the platform or a peer since its start and may serve
+  // requests.
   bool ready() const { return ready_; }
-  // Time of the last successful read of the platform by this node; InfinitePast if none.
+  // Time of this node's last successful read of the platform; InfinitePast if there was none.
   absl::Time last_platform_read() const { return last_platform_read_; }
-  // Changes passed over since the start, as their records could not be read.
+  // Number of changes skipped since the start because their records could not be decoded.
   std::uint64_t undecoded_count() const { return undecoded_count_; }
-  // The first of them since the last call, for the log.
+  // Returns the first of these changes since the last call, for the log.
   std::vector<UndecodedRecord> TakeUndecoded();
 
  private:
-  // Whether a peer's snapshot may still come, instead of the whole table from the platform.
+  // Returns true while a peer's snapshot may still arrive, so that the whole table need not be read
+  // from the platform.
   bool AwaitsSnapshot(absl::Time now);
-  void AskForSnapshot(absl::Time now, Outbox* outbox);
+  void RequestSnapshot(absl::Time now, Outbox* outbox);
   void ReadPlatform(absl::Time now, Outbox* outbox);
   void HandleReadError(absl::Time now);
-  // The changes of a page that can be understood. A record of an unknown form is passed over: the
-  // key keeps its earlier value, and the other keys are not held up.
+  // Returns the changes of a page that can be decoded. A record of unknown format is skipped: its
+  // key keeps the earlier value, and other keys are not delayed.
   std::vector<RecordChange> DecodeChanges(const ValueChangePage& page);
-  void NoteUndecoded(const StoredValue& stored);
+  void RecordUndecoded(const StoredValue& stored);
   // Spec action: ApplyChanges.
   void HandleChanges(const Envelope& envelope, const RecordChanges& changes, absl::Time now,
                      Outbox* outbox);
-  void AskIfBehind(const NodeId& from, TableRevision theirs, absl::Time now, Outbox* outbox);
-  // Repeats a fetch whose answer did not come, at the same node or at a peer.
+  void FetchIfBehind(const NodeId& from, TableRevision theirs, absl::Time now, Outbox* outbox);
+  // Repeats an unanswered fetch, at the same node or at a peer.
   void RetryFetch(const std::vector<NodeId>& peers, absl::Time now, Outbox* outbox);
   void Fetch(const NodeId& from, absl::Time now, Outbox* outbox);
   void AnswerFetch(const Envelope& envelope, const RecordFetch& fetch, Outbox* outbox);
   RecordChanges MakePage(TableRevision after) const;
-  void PushNews(TableRevision after, const std::vector<NodeId>& peers, Outbox* outbox);
+  void PushChanges(TableRevision after, const std::vector<NodeId>& peers, Outbox* outbox);
 
   RecordStore* store_;
   RecordSyncOptions options_;
@@ -98,20 +101,20 @@
   absl::Time snapshot_began_ = absl::InfiniteFuture();
   absl::Time snapshot_progress_ = absl::InfinitePast();
   absl::Time next_fetch_ = absl::InfinitePast();
-  // Pages that moved this node on since it fetched last.
+  // Number of pages that made progress since the last fetch.
   int pages_since_fetch_ = 0;
   absl::Time last_platform_read_ = absl::InfinitePast();
   absl::Duration backoff_ = absl::ZeroDuration();
   std::uint64_t outstanding_call_ = 0;
   absl::Time call_sent_at_ = absl::InfinitePast();
-  // The revision after which the outstanding call reads.
+  // Revision after which the outstanding call reads.
   TableRevision call_after_;
   std::uint64_t next_call_ = 1;
-  // The newest revision heard of, the node that has it, and fetches left without progress.
+  // Newest known revision, the node that has it, and the number of fetches left without progress.
   TableRevision newest_known_;
   NodeId newest_source_;
   int fetches_left_ = 0;
-  // As of the last Tick: whom to pass changes to that did not come from the platform.
+  // Arguments of the last Tick; the reader pushes changes from other nodes to these peers.
   bool is_reader_ = false;
   std::vector<NodeId> peers_;
   bool ready_ = false;
--- a/src/membership/duty_takeover.cc
+++ b/src/membership/duty_takeover.cc
@@ -8,26 +8,26 @@
   const bool was_member = std::find(members_.begin(), members_.end(), self_) != members_.end();
   const bool is_member = std::find(members.begin(), members.end(), self_) != members.end();
   was_absent_ = was_absent_ || !was_member || !is_member;
-  bool someone_left = false;
+  bool member_gone = false;
   for (const NodeId& member : members_) {
     if (std::find(members.begin(), members.end(), member) == members.end()) {
       gone_.insert(member);
-      someone_left = true;
+      member_gone = true;
     }
   }
   for (const NodeId& member : members) {
     gone_.erase(member);
   }
   members_ = members;
-  return is_member && (!was_member || someone_left);
+  return is_member && (!was_member || member_gone);
 }
 
 bool DutyTakeover::HasCome(std::string_view name) const {
   const RendezvousKey key = DutyKey(duty_, name);
-  const bool lost_before = std::any_of(gone_.begin(), gone_.end(), [&](const NodeId& member) {
-    return key.Prefers(member.value(), self_.value());
-  });
-  return (was_absent_ || lost_before) && HoldsDuty(self_, duty_, name, members_);
+  const bool held_by_gone_member =
+      std::any_of(gone_.begin(), gone_.end(),
+                  [&](const NodeId& member) { return key.Prefers(member.value(), self_.value()); });
+  return (was_absent_ || held_by_gone_member) && HoldsDuty(self_, duty_, name, members_);
 }
 
 void DutyTakeover::Settle() {
--- a/src/membership/member_order.h
+++ b/src/membership/member_order.h
@@ -1,4 +1,4 @@
-// Which of two states of a member replaces the other, and what a state means.
+// Ordering and classification of member states.
 #ifndef HINGESPAN_SRC_MEMBERSHIP_MEMBER_ORDER_H_
 #define HINGESPAN_SRC_MEMBERSHIP_MEMBER_ORDER_H_
 
@@ -8,8 +8,8 @@
 
 namespace hingespan {
 
-// Within one refutation, the later of two states replaces the earlier one. A leaving member stays
-// leaving when it is suspected, so that no duty returns to it.
+// Ranks states within one refutation; a higher rank replaces a lower one. kLeaving ranks above
+// kSuspect, so that a leaving member that is suspected gets no duty back.
 inline int Rank(MemberState state) {
   switch (state) {
     case MemberState::kAlive:
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -9,11 +9,11 @@
 namespace hingespan {
 namespace {
 
-// A state is passed on this often for each doubling of the number of members.
+// Number of times that a state is sent per doubling of the number of members.
 constexpr int kTransmissionFactor = 3;
-// One probe in this many goes to a dead member, if there is one.
-constexpr std::uint64_t kDeadProbeOneIn = 10;
-// Members in one JoinReply, so that it stays below kMaximumDatagramBytes.
+// One in this many probes goes to a dead member, if there is one.
+constexpr std::uint64_t kDeadProbePeriod = 10;
+// Maximum number of members in one JoinReply, which keeps it below kMaximumDatagramBytes.
 constexpr std::size_t kMembersPerJoinReply = 8;
 
 }  // namespace
@@ -65,7 +65,7 @@
   }
 }
 
-// --- Time ---------------------------------------------------------------------------------------
+// --- Timers -------------------------------------------------------------------------------------
 
 void Membership::Tick(absl::Time now, Outbox* outbox) {
   if (self_.state == MemberState::kLeft) {
@@ -105,14 +105,14 @@
   std::vector<NodeId> silent;
   for (OutstandingProbe& probe : outstanding_) {
     const absl::Duration waited = now - probe.sent_at;
-    if (!probe.asked_by.empty()) {
+    if (!probe.requested_by.empty()) {
       continue;
     }
     if (waited >= options_.probe_interval) {
       silent.push_back(probe.target);
     } else if (waited >= options_.probe_timeout && !probe.indirect_sent) {
       probe.indirect_sent = true;
-      AskOthersToProbe(probe, outbox);
+      RequestIndirectProbes(probe, outbox);
     }
   }
   std::erase_if(outstanding_, [&](const OutstandingProbe& probe) {
@@ -120,16 +120,16 @@
   });
   for (const NodeId& node : silent) {
     if (Suspect(node, now)) {
-      // Carries the suspicion to the suspect, which can refute it at once.
+      // The probe carries the suspicion to the suspect, which can refute it immediately.
       SendProbe(node, now, outbox);
     }
   }
 }
 
-void Membership::AskOthersToProbe(const OutstandingProbe& probe, Outbox* outbox) {
+void Membership::RequestIndirectProbes(const OutstandingProbe& probe, Outbox* outbox) {
   std::vector<NodeId> helpers = peers_;
   std::erase(helpers, probe.target);
-  for (int asked = 0; asked < options_.indirect_probes && !helpers.empty(); ++asked) {
+  for (int requested = 0; requested < options_.indirect_probes && !helpers.empty(); ++requested) {
     const std::size_t index = random_.Below(helpers.size());
     outbox->Send(helpers[index], IndirectProbeRequest{probe.sequence, probe.target});
     helpers.erase(helpers.begin() + static_cast<std::ptrdiff_t>(index));
@@ -179,7 +179,7 @@
       dead.push_back(node);
     }
   }
-  if (!dead.empty() && (peers_.empty() || random_.Below(kDeadProbeOneIn) == 0)) {
+  if (!dead.empty() && (peers_.empty() || random_.Below(kDeadProbePeriod) == 0)) {
     return dead[random_.Below(dead.size())];
   }
   while (!probe_order_.empty()) {
@@ -225,17 +225,17 @@
       known_receiver->second.update.state != MemberState::kAlive) {
     updates.push_back(known_receiver->second.update);
   }
-  std::vector<Member*> news;
+  std::vector<Member*> unsent;
   for (auto& [node, member] : members_) {
     if (node != receiver && member.transmissions < TransmissionLimit()) {
-      news.push_back(&member);
+      unsent.push_back(&member);
     }
   }
-  std::stable_sort(news.begin(), news.end(), [](const Member* left, const Member* right) {
+  std::stable_sort(unsent.begin(), unsent.end(), [](const Member* left, const Member* right) {
     return left->transmissions < right->transmissions;
   });
   const auto limit = static_cast<std::size_t>(options_.updates_per_message);
-  for (Member* member : news) {
+  for (Member* member : unsent) {
     if (updates.size() >= limit) {
       break;
     }
--- a/src/membership/membership_messages.cc
+++ b/src/membership/membership_messages.cc
@@ -1,4 +1,4 @@
-// What a member does with each message, and how it merges states.
+// Message handling and merging of member states.
 #include <algorithm>
 #include <utility>
 
@@ -46,8 +46,8 @@
   if (found == outstanding_.end()) {
     return;
   }
-  if (!found->asked_by.empty()) {
-    outbox->Send(found->asked_by, IndirectProbeAck{found->asked_sequence, found->target});
+  if (!found->requested_by.empty()) {
+    outbox->Send(found->requested_by, IndirectProbeAck{found->requester_sequence, found->target});
   }
   outstanding_.erase(found);
 }
@@ -59,8 +59,8 @@
     return;
   }
   OutstandingProbe& probe = SendProbe(request.target, now, outbox);
-  probe.asked_by = envelope.from;
-  probe.asked_sequence = request.sequence;
+  probe.requested_by = envelope.from;
+  probe.requester_sequence = request.sequence;
 }
 
 void Membership::MergeAll(const std::vector<MemberUpdate>& updates, absl::Time now) {
@@ -76,7 +76,7 @@
   }
   const auto found = members_.find(update.node);
   if (found == members_.end() && IsGone(update.state)) {
-    // Forgotten already; adding it again would pass it round for ever.
+    // The member was already forgotten; adding it again would circulate its state forever.
     return;
   }
   if (found != members_.end() && !Replaces(update, found->second.update)) {
@@ -113,7 +113,7 @@
   }
   Member& member = found->second;
   if (member.update.state == MemberState::kSuspect) {
-    // Only its own refutation ends the suspicion, but it gets its whole time for that.
+    // Only the member's own refutation ends the suspicion, but the timeout restarts.
     member.suspected_since = now;
   } else {
     member.suspected_since = absl::InfiniteFuture();
@@ -128,9 +128,9 @@
   ++self_.refutation;
   views_stale_ = true;
   RebuildViews();
-  constexpr std::uint64_t kUnasked = 0;
+  constexpr std::uint64_t kUnsolicited = 0;
   for (const NodeId& peer : peers_) {
-    outbox->Send(peer, ProbeAck{kUnasked, TakeUpdates(peer), table_revision_});
+    outbox->Send(peer, ProbeAck{kUnsolicited, TakeUpdates(peer), table_revision_});
   }
 }
 
--- a/src/membership/record_sync.cc
+++ b/src/membership/record_sync.cc
@@ -9,18 +9,20 @@
 namespace hingespan {
 namespace {
 
-// What an envelope and the frame of RecordChanges may take of a datagram.
+// Bytes of a datagram reserved for the envelope and the frame of RecordChanges.
 constexpr std::size_t kEnvelopeBytes = 200;
 constexpr std::size_t kPageBytes = kMaximumDatagramBytes - kEnvelopeBytes;
-// Pages pushed to peers at most; a peer that needs more fetches them at its own pace.
-constexpr int kPushedPages = 4;
-// Pages that answer one fetch at most: a snapshot then takes that many times fewer round trips.
-constexpr int kPagesPerFetch = 8;
-// Fetches in vain after which a revision that nobody seems to hold is given up until the next hint.
+// Maximum number of pages pushed to peers; a peer that needs more fetches them.
+constexpr int kMaxPushedPages = 4;
+// Maximum number of pages in the answer to one fetch; this reduces the round trips of a snapshot by
+// that factor.
+constexpr int kMaxPagesPerFetch = 8;
+// Number of fetches without progress after which a revision that no node seems to have is given up
+// until the next hint.
 constexpr int kFetchAttempts = 10;
 constexpr int kMaximumBackoffFactor = 10;
-// Undecoded records kept for the log at most.
-constexpr std::size_t kUndecodedKept = 64;
+// Maximum number of undecoded records kept for the log.
+constexpr std::size_t kMaxUndecodedRecords = 64;
 
 }  // namespace
 
@@ -34,7 +36,7 @@
   RetryFetch(peers, now, outbox);
   const bool awaits_snapshot = AwaitsSnapshot(now);
   if (awaits_snapshot) {
-    AskForSnapshot(now, outbox);
+    RequestSnapshot(now, outbox);
   }
   if (!is_reader) {
     return;
@@ -53,12 +55,12 @@
     return false;
   }
   snapshot_began_ = std::min(snapshot_began_, now);
-  const absl::Time heard_at = std::max(snapshot_began_, snapshot_progress_);
-  return now - heard_at < options_.snapshot_patience &&
-         now - snapshot_began_ < options_.snapshot_limit;
+  const absl::Time last_progress = std::max(snapshot_began_, snapshot_progress_);
+  return now - last_progress < options_.snapshot_progress_timeout &&
+         now - snapshot_began_ < options_.snapshot_timeout;
 }
 
-void RecordSync::AskForSnapshot(absl::Time now, Outbox* outbox) {
+void RecordSync::RequestSnapshot(absl::Time now, Outbox* outbox) {
   if (now < next_fetch_) {
     return;
   }
@@ -102,13 +104,13 @@
   } else {
     next_read_ = now;
   }
-  PushNews(before, peers, outbox);
+  PushChanges(before, peers, outbox);
 }
 
 void RecordSync::HandleReadError(absl::Time now) {
   const absl::Duration longest = options_.error_backoff * kMaximumBackoffFactor;
   backoff_ = std::clamp(backoff_ * 2, options_.error_backoff, longest);
-  // Readers of several zones should not come back at the same moment.
+  // Jitter keeps the readers of several zones from retrying at the same time.
   next_read_ = now + backoff_ * (0.5 + 0.5 * random_.Fraction());
 }
 
@@ -121,7 +123,7 @@
     if (stored.value) {
       Result<Record> record = DecodeRecord(stored.key, *stored.value);
       if (!record.ok()) {
-        NoteUndecoded(stored);
+        RecordUndecoded(stored);
         continue;
       }
       change.record = std::move(*record);
@@ -131,9 +133,9 @@
   return changes;
 }
 
-void RecordSync::NoteUndecoded(const StoredValue& stored) {
+void RecordSync::RecordUndecoded(const StoredValue& stored) {
   ++undecoded_count_;
-  if (undecoded_.size() < kUndecodedKept) {
+  if (undecoded_.size() < kMaxUndecodedRecords) {
     undecoded_.push_back({stored.key, stored.revision});
   }
 }
@@ -144,12 +146,12 @@
 
 void RecordSync::Handle(const Envelope& envelope, absl::Time now, Outbox* outbox) {
   if (const auto* probe = std::get_if<Probe>(&envelope.message)) {
-    AskIfBehind(envelope.from, probe->table_revision, now, outbox);
+    FetchIfBehind(envelope.from, probe->table_revision, now, outbox);
   } else if (const auto* ack = std::get_if<ProbeAck>(&envelope.message)) {
-    AskIfBehind(envelope.from, ack->table_revision, now, outbox);
+    FetchIfBehind(envelope.from, ack->table_revision, now, outbox);
   } else if (const auto* fetch = std::get_if<RecordFetch>(&envelope.message)) {
     AnswerFetch(envelope, *fetch, outbox);
-    AskIfBehind(envelope.from, fetch->after, now, outbox);
+    FetchIfBehind(envelope.from, fetch->after, now, outbox);
   } else if (const auto* changes = std::get_if<RecordChanges>(&envelope.message)) {
     HandleChanges(envelope, *changes, now, outbox);
   }
@@ -168,18 +170,18 @@
     fetches_left_ = kFetchAttempts;
     ++pages_since_fetch_;
   }
-  if (pages_since_fetch_ >= kPagesPerFetch) {
-    // The last page of the answer: the next ones are asked for at once.
+  if (pages_since_fetch_ >= kMaxPagesPerFetch) {
+    // This is the last page of the answer, so the next pages are requested immediately.
     next_fetch_ = absl::InfinitePast();
   }
   if (progress && is_reader_) {
-    PushNews(before, peers_, outbox);
+    PushChanges(before, peers_, outbox);
   }
-  AskIfBehind(envelope.from, changes.latest, now, outbox);
+  FetchIfBehind(envelope.from, changes.latest, now, outbox);
 }
 
-void RecordSync::AskIfBehind(const NodeId& from, TableRevision theirs, absl::Time now,
-                             Outbox* outbox) {
+void RecordSync::FetchIfBehind(const NodeId& from, TableRevision theirs, absl::Time now,
+                               Outbox* outbox) {
   if (theirs <= store_->revision()) {
     return;
   }
@@ -222,18 +224,20 @@
     return;
   }
   TableRevision after = fetch.after;
-  for (int sent = 0; sent == 0 || (sent < kPagesPerFetch && after < store_->revision()); ++sent) {
+  for (int sent = 0; sent == 0 || (sent < kMaxPagesPerFetch && after < store_->revision());
+       ++sent) {
     RecordChanges page = MakePage(after);
     after = page.through;
     outbox->Send(envelope.from, std::move(page));
   }
 }
 
-void RecordSync::PushNews(TableRevision after, const std::vector<NodeId>& peers, Outbox* outbox) {
+void RecordSync::PushChanges(TableRevision after, const std::vector<NodeId>& peers,
+                             Outbox* outbox) {
   if (!ready_) {
     return;
   }
-  for (int pushed = 0; pushed < kPushedPages && after < store_->revision(); ++pushed) {
+  for (int pushed = 0; pushed < kMaxPushedPages && after < store_->revision(); ++pushed) {
     const RecordChanges page = MakePage(after);
     after = page.through;
     for (const NodeId& peer : peers) {
--- a/tests/membership/duties_test.cc
+++ b/tests/membership/duties_test.cc
@@ -18,7 +18,7 @@
   return members;
 }
 
-TEST_CASE("nobody holds a duty of an empty zone") {
+TEST_CASE("an empty zone has no duty holder") {
   CHECK(DutyHolder(Duty::kKeeper, "w1", {}).empty());
 }
 
@@ -29,7 +29,7 @@
   CHECK(DutyHolder(Duty::kPlacer, "m1", members) == holder);
 }
 
-TEST_CASE("a member that goes moves only its own share") {
+TEST_CASE("when a member leaves, only its own share moves") {
   const std::vector<NodeId> before = Members(10);
   std::vector<NodeId> after = before;
   after.pop_back();
--- a/tests/membership/duty_takeover_test.cc
+++ b/tests/membership/duty_takeover_test.cc
@@ -22,9 +22,10 @@
   return DutyHolder(Duty::kPlacer, std::to_string(name), members) == kSelf;
 }
 
-// Exactly the names held in `now` and not in all of `before` have come.
-void CheckCome(const DutyTakeover& takeover, const std::vector<NodeId>& now,
-               const std::vector<std::vector<NodeId>>& before) {
+// Checks that exactly the names held with members `now`, but not with all of `before`, are reported
+// as taken over.
+void CheckTakenOver(const DutyTakeover& takeover, const std::vector<NodeId>& now,
+                    const std::vector<std::vector<NodeId>>& before) {
   for (int name = 0; name < kNames; ++name) {
     bool held_before = true;
     for (const std::vector<NodeId>& members : before) {
@@ -36,23 +37,23 @@
 
 }  // namespace
 
-TEST_CASE("only names of members that have gone come to a node") {
+TEST_CASE("a node takes over only names of members that have gone") {
   const std::vector<NodeId> before = Members({0, 1, 2, 3});
   const std::vector<NodeId> after = Members({0, 1, 3});
   DutyTakeover takeover(Duty::kPlacer, kSelf);
   CHECK(takeover.SetMembers(before));
-  CheckCome(takeover, before, {{}});
+  CheckTakenOver(takeover, before, {{}});
   takeover.Settle();
-  CheckCome(takeover, before, {before});
+  CheckTakenOver(takeover, before, {before});
   CHECK(takeover.SetMembers(after));
-  CheckCome(takeover, after, {before});
+  CheckTakenOver(takeover, after, {before});
   takeover.Settle();
-  // One that joins brings nothing.
+  // A member that joins moves no names to this node.
   CHECK_FALSE(takeover.SetMembers(before));
-  CheckCome(takeover, before, {after});
+  CheckTakenOver(takeover, before, {after});
 }
 
-TEST_CASE("what a member held for a moment comes back") {
+TEST_CASE("names that another member held for a moment are taken over again") {
   const std::vector<NodeId> before = Members({0, 1});
   const std::vector<NodeId> between = Members({0, 1, 2});
   DutyTakeover takeover(Duty::kPlacer, kSelf);
@@ -60,17 +61,17 @@
   takeover.Settle();
   CHECK_FALSE(takeover.SetMembers(between));
   CHECK(takeover.SetMembers(before));
-  CheckCome(takeover, before, {before, between});
+  CheckTakenOver(takeover, before, {before, between});
 }
 
-TEST_CASE("a node that was no member for a moment looks at all that it holds") {
+TEST_CASE("a node that was not a member for a moment takes over all names it holds") {
   const std::vector<NodeId> members = Members({0, 1});
   DutyTakeover takeover(Duty::kPlacer, kSelf);
   takeover.SetMembers(members);
   takeover.Settle();
   CHECK_FALSE(takeover.SetMembers(Members({1})));
   CHECK(takeover.SetMembers(members));
-  CheckCome(takeover, members, {{}});
+  CheckTakenOver(takeover, members, {{}});
 }
 
 }  // namespace hingespan
--- a/tests/membership/membership_test.cc
+++ b/tests/membership/membership_test.cc
@@ -37,7 +37,7 @@
   }
 }
 
-TEST_CASE("a node without seeds that answer counts as joined after a while") {
+TEST_CASE("a node whose seeds do not answer counts as joined after a timeout") {
   SimulatedZone zone(1);
   zone.seeds = {"n0", "absent"};
   zone.Start("n0");
@@ -60,7 +60,7 @@
   }
 }
 
-TEST_CASE("a paused member that comes back refutes its death") {
+TEST_CASE("a paused member that resumes refutes its death") {
   for (const absl::Duration pause : {absl::Seconds(2), absl::Seconds(30), absl::Minutes(7)}) {
     SimulatedZone zone(3);
     zone.StartAll(5);
@@ -108,14 +108,14 @@
   CHECK(membership.duty_holders().size() == 2);
 }
 
-TEST_CASE("a member that leaves hands its duties over at once") {
+TEST_CASE("a leaving member hands over its duties at once") {
   SimulatedZone zone(5);
   zone.StartAll(5);
   REQUIRE(zone.RunUntil(kLimit, [&] { return zone.AllSee(kFive); }));
   zone.SetSelfState("n4", MemberState::kLeaving);
   zone.Run(2 * SimulatedZone::kStep);
   CHECK(zone.AllSee(kFourOfFive));
-  // Still there for broadcasts, and not declared dead while it finishes its requests.
+  // The member still receives broadcasts and is not declared dead while it finishes its requests.
   zone.Run(absl::Minutes(1));
   CHECK(StateAt(&zone, "n0", "n4") == MemberState::kLeaving);
   CHECK(zone.At("n0").membership->peers().size() == 4);
@@ -139,7 +139,7 @@
   }));
 }
 
-TEST_CASE("a lossy network raises no lasting false death") {
+TEST_CASE("a lossy network causes no lasting false death") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     SimulatedZone zone(seed);
     zone.loss = 0.2;
@@ -154,8 +154,8 @@
   }
 }
 
-TEST_CASE("both halves of a zone that was cut find each other again") {
-  // The longer cut outlasts the memory of dead members.
+TEST_CASE("both halves of a partitioned zone merge again") {
+  // The longer partition lasts longer than `forget_after`.
   for (const absl::Duration cut : {absl::Seconds(30), absl::Minutes(8)}) {
     SimulatedZone zone(7);
     zone.StartAll(5);
--- a/tests/membership/record_sync_test.cc
+++ b/tests/membership/record_sync_test.cc
@@ -11,7 +11,7 @@
 
 constexpr absl::Duration kLimit = absl::Seconds(20);
 
-TEST_CASE("changes reach all members through loss, delay and doubling, and never revert") {
+TEST_CASE("changes reach all members despite loss, delay and duplication, and never revert") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     SimulatedZone zone(seed);
     zone.loss = 0.2;
@@ -40,7 +40,7 @@
   }
 }
 
-TEST_CASE("a change is in force everywhere within two seconds of a sound network") {
+TEST_CASE("a change is applied everywhere within two seconds on a healthy network") {
   SimulatedZone zone(1);
   zone.StartAll(5);
   zone.Run(absl::Seconds(10));
@@ -49,7 +49,7 @@
   CHECK(zone.AllHold("m", 1));
 }
 
-TEST_CASE("members for which the platform is down get changes from the others") {
+TEST_CASE("members that can't reach the platform get changes from the others") {
   SimulatedZone zone(2);
   zone.StartAll(5);
   zone.Run(absl::Seconds(10));
@@ -64,7 +64,7 @@
   CHECK(zone.RunUntil(kLimit, [&] { return zone.AllHold("m", 1); }));
 }
 
-TEST_CASE("a fresh node gets its snapshot from a peer while the platform is down") {
+TEST_CASE("a new node gets its snapshot from a peer while the platform is down") {
   SimulatedZone zone(3);
   zone.StartAll(5);
   for (std::uint32_t value = 1; value <= 100; ++value) {
@@ -79,7 +79,7 @@
   CHECK(zone.At("n4").store.row_count() == 100);
 }
 
-TEST_CASE("a snapshot of many pages comes in few round trips") {
+TEST_CASE("a snapshot of many pages takes few round trips") {
   SimulatedZone zone(4);
   zone.StartAll(3);
   constexpr std::uint32_t kRows = 400;
@@ -116,7 +116,7 @@
 
 TEST_CASE("a zone without the platform gets changes from another zone") {
   SimulatedZone zone(6);
-  // Two zones that share nothing but the cross-zone fetches: each has its own seeds.
+  // The two zones are connected only by the cross-zone fetches: each has its own seeds.
   zone.seeds = {"a0", "a1", "a2"};
   for (const char* name : {"a0", "a1", "a2"}) {
     zone.Start(name);
@@ -132,7 +132,7 @@
   CHECK(zone.At("a0").membership->Find(NodeId("b0")) == nullptr);
 }
 
-TEST_CASE("a record that can't be read is told and counted, and holds up no other key") {
+TEST_CASE("a record that can't be decoded is reported and counted, and delays no other key") {
   RecordStore store;
   RecordSync sync(&store, RecordSyncOptions(), 1);
   Outbox outbox;
@@ -156,7 +156,7 @@
   CHECK(sync.TakeUndecoded().empty());
 }
 
-TEST_CASE("a reader whose calls fail asks less often") {
+TEST_CASE("a reader whose calls fail backs off") {
   RecordStore store;
   RecordSync sync(&store, RecordSyncOptions(), 1);
   Outbox outbox;
--- a/tests/membership/simulated_zone.h
+++ b/tests/membership/simulated_zone.h
@@ -1,5 +1,5 @@
-// A deterministic zone of nodes for tests: membership and record sync over a simulated network that
-// loses, delays and doubles datagrams and can be cut, before a simulated platform.
+// Deterministic simulation of a zone for tests: membership and record sync over a simulated network
+// that loses, delays and duplicates datagrams and can be partitioned, with a simulated platform.
 #ifndef HINGESPAN_TESTS_MEMBERSHIP_SIMULATED_ZONE_H_
 #define HINGESPAN_TESTS_MEMBERSHIP_SIMULATED_ZONE_H_
 
@@ -32,7 +32,7 @@
     std::unique_ptr<RecordSync> sync;
     bool running = true;
     bool paused = false;
-    // Whether this node ever held another one for dead.
+    // True if this node ever considered another one dead.
     bool ever_dead = false;
   };
 
@@ -51,7 +51,7 @@
     Outbox outbox;
     node->membership->Join(seeds, now, &outbox);
     nodes[name] = std::move(node);
-    Carry(name, &outbox);
+    Dispatch(name, &outbox);
     return *nodes[name];
   }
 
@@ -69,7 +69,7 @@
   void SetSelfState(const std::string& name, MemberState state) {
     Outbox outbox;
     At(name).membership->SetSelfState(state, now, &outbox);
-    Carry(name, &outbox);
+    Dispatch(name, &outbox);
   }
 
   void Commit(const std::string& row, std::uint32_t memory_mib) {
@@ -87,7 +87,7 @@
     }
   }
 
-  // True as soon as `condition` holds; false when it does not within `limit`.
+  // Returns true as soon as `condition` holds, and false if it does not within `limit`.
   bool RunUntil(absl::Duration limit, const std::function<bool()>& condition) {
     for (const absl::Time end = now + limit; now < end;) {
       if (condition()) {
@@ -98,7 +98,7 @@
     return condition();
   }
 
-  // Whether each running node sees exactly these duty holders.
+  // Returns true if each running node sees exactly these duty holders.
   bool AllSee(std::vector<NodeId> expected) {
     for (const auto& [name, node] : nodes) {
       if (node->running && !node->paused && node->membership->duty_holders() != expected) {
@@ -130,11 +130,11 @@
   double loss = 0;
   double duplication = 0;
   int maximum_delay_steps = 1;
-  // Nodes of different groups can't reach each other; all are in group 0 at first.
+  // Partition of each node. Nodes of different groups can't reach each other; all start in group 0.
   std::map<std::string, int> groups;
   std::set<std::string> platform_down_for;
   std::vector<std::string> seeds;
-  // Nodes of other zones, by the node that knows them.
+  // Nodes of other zones known to each node.
   std::map<std::string, std::vector<NodeId>> other_zones;
   std::map<std::string, std::unique_ptr<Node>> nodes;
   std::uint64_t platform_revision = 0;
@@ -168,11 +168,11 @@
       const MemberUpdate* member = node.membership->Find(NodeId(other));
       node.ever_dead |= member != nullptr && member->state == MemberState::kDead;
     }
-    Carry(name, &outbox);
+    Dispatch(name, &outbox);
   }
 
-  // Carries out what a node wants done.
-  void Carry(const std::string& from, Outbox* outbox) {
+  // Delivers the messages and platform calls of a node.
+  void Dispatch(const std::string& from, Outbox* outbox) {
     Node& node = At(from);
     for (OutgoingMessage& message : outbox->messages) {
       const std::string to = message.address.empty() ? message.to.value() : message.address;
@@ -187,7 +187,7 @@
     for (const PlatformCall& call : outbox->platform_calls) {
       Outbox more;
       node.sync->HandleAnswer(Answer(from, call), node.membership->peers(), now, &more);
-      Carry(from, &more);
+      Dispatch(from, &more);
     }
   }
 
@@ -211,7 +211,7 @@
       Outbox outbox;
       found->second->membership->Handle(datagram.envelope, now, &outbox);
       found->second->sync->Handle(datagram.envelope, now, &outbox);
-      Carry(datagram.to, &outbox);
+      Dispatch(datagram.to, &outbox);
     }
   }
 
