--- a/include/hingespan/membership/duty_takeover.h
+++ b/include/hingespan/membership/duty_takeover.h
@@ -13,7 +13,7 @@
 
 namespace hingespan {
 
-// Not thread-safe. Changes accumulate until Settle, so that a member that joined and left
+// Not thread-safe. Changes accumulate until MarkProcessed, so that a member that joined and left
 // between two checks does not hide the names it held for a moment.
 class DutyTakeover {
  public:
@@ -22,18 +22,18 @@
   // Returns true if the change may have moved names to this node.
   bool SetMembers(const std::vector<NodeId>& members);
   // Returns true if the node holds the duty of `name` and may not have held it at some time since
-  // Settle.
-  bool HasCome(std::string_view name) const;
+  // MarkProcessed.
+  bool MayBeTakenOver(std::string_view name) const;
   // Called after all names have been checked.
-  void Settle();
+  void MarkProcessed();
 
  private:
   Duty duty_;
   NodeId self_;
   std::vector<NodeId> members_;
-  // Members since Settle that have gone.
+  // Members since MarkProcessed that have gone.
   absl::btree_set<NodeId> gone_;
-  // True if the node was not a member at some time since Settle.
+  // True if the node was not a member at some time since MarkProcessed.
   bool was_absent_ = false;
 };
 
--- a/src/membership/duty_takeover.cc
+++ b/src/membership/duty_takeover.cc
@@ -22,7 +22,7 @@
   return is_member && (!was_member || member_gone);
 }
 
-bool DutyTakeover::HasCome(std::string_view name) const {
+bool DutyTakeover::MayBeTakenOver(std::string_view name) const {
   const RendezvousKey key = DutyKey(duty_, name);
   const bool held_by_gone_member =
       std::any_of(gone_.begin(), gone_.end(),
@@ -30,7 +30,7 @@
   return (was_absent_ || held_by_gone_member) && HoldsDuty(self_, duty_, name, members_);
 }
 
-void DutyTakeover::Settle() {
+void DutyTakeover::MarkProcessed() {
   gone_.clear();
   was_absent_ = std::find(members_.begin(), members_.end(), self_) == members_.end();
 }
--- a/src/node/row_takeover.cc
+++ b/src/node/row_takeover.cc
@@ -22,14 +22,14 @@
   const TableRevision through =
       store_->ForEachKeyAfter(searched_, keys_at_most, [&](const std::string& key) {
         const std::optional<ModelName> model = ModelOfKey(key);
-        if (model && takeover_.HasCome(model->value())) {
+        if (model && takeover_.MayBeTakenOver(model->value())) {
           visit(*model);
         }
       });
   searching_ = through != searched_;
   searched_ = through;
   if (!searching_) {
-    takeover_.Settle();
+    takeover_.MarkProcessed();
   }
 }
 
--- a/tests/membership/duty_takeover_test.cc
+++ b/tests/membership/duty_takeover_test.cc
@@ -31,7 +31,7 @@
     for (const std::vector<NodeId>& members : before) {
       held_before = held_before && Holds(name, members);
     }
-    CHECK(takeover.HasCome(std::to_string(name)) == (Holds(name, now) && !held_before));
+    CHECK(takeover.MayBeTakenOver(std::to_string(name)) == (Holds(name, now) && !held_before));
   }
 }
 
@@ -43,11 +43,11 @@
   DutyTakeover takeover(Duty::kPlacer, kSelf);
   CHECK(takeover.SetMembers(before));
   CheckTakenOver(takeover, before, {{}});
-  takeover.Settle();
+  takeover.MarkProcessed();
   CheckTakenOver(takeover, before, {before});
   CHECK(takeover.SetMembers(after));
   CheckTakenOver(takeover, after, {before});
-  takeover.Settle();
+  takeover.MarkProcessed();
   // A member that joins moves no names to this node.
   CHECK_FALSE(takeover.SetMembers(before));
   CheckTakenOver(takeover, before, {after});
@@ -58,7 +58,7 @@
   const std::vector<NodeId> between = Members({0, 1, 2});
   DutyTakeover takeover(Duty::kPlacer, kSelf);
   takeover.SetMembers(before);
-  takeover.Settle();
+  takeover.MarkProcessed();
   CHECK_FALSE(takeover.SetMembers(between));
   CHECK(takeover.SetMembers(before));
   CheckTakenOver(takeover, before, {before, between});
@@ -68,7 +68,7 @@
   const std::vector<NodeId> members = Members({0, 1});
   DutyTakeover takeover(Duty::kPlacer, kSelf);
   takeover.SetMembers(members);
-  takeover.Settle();
+  takeover.MarkProcessed();
   CHECK_FALSE(takeover.SetMembers(Members({1})));
   CHECK(takeover.SetMembers(members));
   CheckTakenOver(takeover, members, {{}});
