--- a/include/hingespan/placement/load_estimator.h
+++ b/include/hingespan/placement/load_estimator.h
@@ -1,4 +1,4 @@
-// Expected load time by cache tier and size, learnt from loads that were seen.
+// Estimates load times by cache tier and size from the loads observed so far.
 #ifndef HINGESPAN_PLACEMENT_LOAD_ESTIMATOR_H_
 #define HINGESPAN_PLACEMENT_LOAD_ESTIMATOR_H_
 
@@ -11,7 +11,7 @@
 namespace hingespan {
 
 struct LoadEstimatorOptions {
-  // First guesses, per GiB, before any load was seen.
+  // Initial estimates per GiB, used until a load of the tier has been observed.
   absl::Duration memory_per_gib = absl::Milliseconds(50);
   absl::Duration disk_per_gib = absl::Milliseconds(300);
   absl::Duration remote_per_gib = absl::Milliseconds(1500);
--- a/include/hingespan/placement/permit_holder.h
+++ b/include/hingespan/placement/permit_holder.h
@@ -1,11 +1,11 @@
-// Hands out the weight store's rate and concurrency to a zone's keepers, the earliest deadline
+// Grants a zone's keepers permits for the weight store's rate and concurrency, earliest deadline
 // first.
 //
-// The deployment's concurrency is split into slots. Each zone has its part of them (PermitElection
-// says who may use it) and lends idle ones to zones whose loads wait (PermitLending). A slot
-// carries its part of the rate. Loads permitted at once never pass the budget if every load ends
-// within `permit_timeout` of its permit; loads begun within w seconds never pass rate * w by more
-// than one for each zone.
+// The deployment's concurrency is split into slots. Each zone has a share of them (PermitElection
+// decides which node may use it) and lends idle ones to zones whose loads wait (PermitLending).
+// Each slot carries its share of the rate. Concurrent permitted loads never exceed the budget if
+// every load ends within `permit_timeout` of its permit. Loads started within w seconds never
+// exceed rate * w by more than one for each zone.
 #ifndef HINGESPAN_PLACEMENT_PERMIT_HOLDER_H_
 #define HINGESPAN_PLACEMENT_PERMIT_HOLDER_H_
 
@@ -26,27 +26,28 @@
 
 struct PermitCounters {
   std::uint64_t granted = 0;
-  // Permits whose keeper never returned them.
+  // Permits that timed out because their keeper never returned them.
   std::uint64_t timed_out = 0;
 };
 
-// Not thread-safe. Every node has one, as a voter; the one that the zone's members name hands out.
+// Not thread-safe. Every node has an instance that votes; the node that the zone's member list
+// names as holder also grants permits.
 class PermitHolder {
  public:
   PermitHolder(NodeId self, NodeIncarnation incarnation, ZoneId zone, std::vector<ZoneId> zones,
                PermitOptions options);
 
-  // The members of the zone, whether they name this node as holder, and nodes of other zones.
+  // The zone's members, whether they name this node as holder, and the nodes of other zones.
   struct View {
     bool is_holder = false;
     const std::vector<NodeId>& peers;
     const ZoneNodes& other_zones;
   };
-  // Grants what the passing of time allows; to be called often.
+  // Expires permits and requests, and grants what has become available. Must be called frequently.
   void Tick(const View& view, absl::Time now, Outbox* outbox);
 
-  // Handles a request or a return, and answers requests. A repeated request of a permit that was
-  // granted is answered as granted again, at no cost.
+  // Handles a request or a return, and answers requests. A repeated request for a permit that was
+  // granted is answered as granted again and uses no token.
   void Handle(const Envelope& envelope, const PermitRequest& request, absl::Time now,
               Outbox* outbox);
   void Handle(const Envelope& envelope, const PermitVoteRequest& request, absl::Time now,
@@ -77,7 +78,7 @@
     std::uint64_t number = 0;
     std::uint32_t waiting = 0;
     absl::Time deadline;
-    absl::Time heard_at;
+    absl::Time received_at;
   };
 
   void Release(const LoadId& load, std::uint64_t number);
@@ -97,7 +98,7 @@
   PermitElection election_;
   PermitLending lending_;
   PermitCounters counters_;
-  // Loads that may begin now, at most one.
+  // Number of loads that may start now, at slot_count one.
   double tokens_ = 0.0;
   absl::Time refilled_at_ = absl::InfinitePast();
   std::uint32_t slots_at_refill_ = 0;
--- a/include/hingespan/placement/permit_lending.h
+++ b/include/hingespan/placement/permit_lending.h
@@ -1,9 +1,9 @@
-// Moves a zone's slots of the weight store's budget to other zones and back.
+// Lends a zone's slots of the weight store's budget to other zones and takes them back.
 //
-// A lender counts a loan until the borrower returned it in a request, or until a lease and the time
-// of the longest load after the borrower's last request. A borrower allows loads on it for less
-// than a lease from when it sent the request that the loan answers. So no slot is used twice,
-// whatever is lost, doubled or late.
+// A lender counts a loan until the borrower returned it in a request, or until a lease plus the
+// longest load time has passed since the borrower's last request. A borrower permits loads on it
+// for less than a lease after it sent the request that the loan answers. Therefore no slot is used
+// twice, even if messages are lost, duplicated or late.
 #ifndef HINGESPAN_PLACEMENT_PERMIT_LENDING_H_
 #define HINGESPAN_PLACEMENT_PERMIT_LENDING_H_
 
@@ -20,19 +20,20 @@
 
 namespace hingespan {
 
-// What waits for slots in one zone.
+// Demand for slots in one zone.
 struct PermitDemand {
   std::uint32_t loads = 0;
-  // Slots that would also serve to begin those loads sooner, by their part of the rate.
+  // Further slots that would let those loads start sooner through their share of the rate.
   std::uint32_t extra_slots = 0;
   std::uint32_t requests = 0;
   absl::Time deadline = absl::InfiniteFuture();
 };
 
-// Nodes of each other zone that a request for a loan may be sent to.
+// Nodes of each other zone to which a loan request may be sent.
 using ZoneNodes = absl::btree_map<ZoneId, std::vector<NodeId>>;
 
-// The part of `zone` when no slot is lent. The parts of all zones add up to `concurrency`.
+// Returns the share of `zone` when no slot is lent. The shares of all zones add up to
+// `concurrency`.
 std::uint32_t HomeSlots(std::uint32_t concurrency, const std::vector<ZoneId>& zones,
                         const ZoneId& zone);
 
@@ -42,19 +43,20 @@
   PermitLending(NodeId self, NodeIncarnation incarnation, ZoneId zone, std::vector<ZoneId> zones,
                 PermitOptions options);
 
-  // Slots that loads of this zone may use now. `has_home`: see PermitElection.
-  std::uint32_t Slots(bool has_home, absl::Time now) const;
+  // Returns the slots that loads of this zone may use now. `has_home_slots`: see
+  // PermitElection::MayUseZoneSlots.
+  std::uint32_t Slots(bool has_home_slots, absl::Time now) const;
 
-  // Lender. `used`: loads of this zone that run; `own`: what waits here.
+  // Lender side. `used`: running loads of this zone. `own`: demand of this zone.
   void Handle(const Envelope& envelope, const PermitLoanRequest& request, absl::Time now);
-  void Lend(bool has_home, std::uint32_t used, const PermitDemand& own, absl::Time now,
+  void Lend(bool has_home_slots, std::uint32_t used, const PermitDemand& own, absl::Time now,
             Outbox* outbox);
 
-  // Borrower.
+  // Borrower side.
   void Handle(const Envelope& envelope, const PermitLoanReply& reply, absl::Time now);
-  // Asks for what waits and returns what is idle.
-  void Borrow(bool has_home, std::uint32_t used, const PermitDemand& own, const ZoneNodes& nodes,
-              absl::Time now, Outbox* outbox);
+  // Requests slots for waiting loads and returns idle ones.
+  void Borrow(bool has_home_slots, std::uint32_t used, const PermitDemand& own,
+              const ZoneNodes& nodes, absl::Time now, Outbox* outbox);
 
   std::uint32_t lent(absl::Time now) const;
   std::uint32_t borrowed(absl::Time now) const;
@@ -65,7 +67,7 @@
     std::uint64_t sequence = 0;
     std::uint32_t slots = 0;
     PermitDemand demand;
-    absl::Time heard_at;
+    absl::Time received_at;
     bool answered = false;
   };
   struct Borrowed {
@@ -73,21 +75,21 @@
     std::uint32_t slots = 0;
     absl::Time sent_at = absl::InfinitePast();
     absl::Time usable_until = absl::InfinitePast();
-    // The present sequence was answered.
+    // True if the current sequence was answered.
     bool answered = true;
     NodeId lender;
   };
 
-  std::uint32_t Home(bool has_home, absl::Time now) const;
+  std::uint32_t AvailableHomeSlots(bool has_home_slots, absl::Time now) const;
   void ForgetLoans(absl::Time now);
   bool IsLent(const Loan& loan, absl::Time now) const;
   bool IsUsable(const Borrowed& borrowed, absl::Time now) const;
-  // Borrowers with unmet demand, the most urgent first.
-  std::vector<Loan*> ByUrgency(absl::Time now);
-  void GiveLoads(std::uint32_t* spare, const PermitDemand& own, absl::Time now,
-                 std::vector<Loan*>* raised);
-  void GiveExtras(std::uint32_t* spare, const PermitDemand& own, absl::Time now,
-                  std::vector<Loan*>* raised);
+  // Returns the borrowers with unmet demand, most urgent first.
+  std::vector<Loan*> LoansByUrgency(absl::Time now);
+  void LendForLoads(std::uint32_t* spare, const PermitDemand& own, absl::Time now,
+                    std::vector<Loan*>* increased);
+  void LendExtraSlots(std::uint32_t* spare, const PermitDemand& own, absl::Time now,
+                      std::vector<Loan*>* increased);
   void SendRequest(const ZoneId& zone, std::uint32_t keep, const PermitDemand& demand,
                    const std::vector<NodeId>& nodes, absl::Time now, Outbox* outbox);
 
--- a/include/hingespan/placement/permit_options.h
+++ b/include/hingespan/placement/permit_options.h
@@ -1,4 +1,4 @@
-// Settings of the weight store's budget and of the leases that share it among zones.
+// Options of the weight store's budget and of the leases that share it among zones.
 #ifndef HINGESPAN_PLACEMENT_PERMIT_OPTIONS_H_
 #define HINGESPAN_PLACEMENT_PERMIT_OPTIONS_H_
 
@@ -9,31 +9,34 @@
 namespace hingespan {
 
 struct PermitOptions {
-  // The whole deployment's budget: loads begun a second, and loads at once (slots).
+  // Budget of the whole deployment: loads started per second, and concurrent loads (slots).
   double rate_per_second = 3.0;
   std::uint32_t concurrency = 12;
-  // Idle slots are lent to zones whose loads wait; false: each zone has its fixed part.
+  // Lends idle slots to zones whose loads wait. If false, each zone has a fixed share.
   bool lend = true;
-  // No zone has more nodes than this. A zone's holder needs the votes of more than half.
+  // Upper limit of the number of nodes in a zone. A zone's holder needs the votes of more than
+  // half.
   std::uint32_t zone_nodes = 1;
-  // A vote and a loan end after this long without renewal.
+  // A vote or a loan that is not renewed ends after this time.
   absl::Duration lease = absl::Seconds(10);
-  // From its grant, a permit's load has ended for certain after this long.
+  // The load of a permit has certainly ended this long after the grant.
   absl::Duration permit_timeout = absl::Minutes(2);
-  // A request that is not repeated for this long is forgotten.
+  // A request that is not repeated within this time is dropped.
   absl::Duration request_timeout = absl::Seconds(3);
-  // Loans are renewed this often while they are needed; asked for at once when loads begin to wait.
+  // Interval at which needed loans are renewed. A loan is requested at once when loads start to
+  // wait.
   absl::Duration renew_interval = absl::Milliseconds(300);
-  // For tests only: a loan or an authority that lapsed is used on.
+  // For tests only: keeps using a loan or an authority that has lapsed.
   bool disable_expiry_for_test = false;
 };
 
-// How long after it gained authority a holder lets the loans and permits of an earlier one end.
+// Time after gaining authority during which a holder waits for the loans and permits of an earlier
+// holder to end.
 inline absl::Duration SettleTime(const PermitOptions& options) {
   return options.lease + options.permit_timeout;
 }
 
-// The part of a lease that its holder uses, so that clocks may differ in rate.
+// The part of a lease that its holder uses. The rest allows for clocks that run at different rates.
 inline absl::Duration UsableLease(const PermitOptions& options) { return options.lease * 0.9; }
 
 }  // namespace hingespan
--- a/include/hingespan/placement/placer.h
+++ b/include/hingespan/placement/placer.h
@@ -1,4 +1,5 @@
-// Placer of some models in one zone: turns wake requests of many routers into one load.
+// Placer of the models that this node places in one zone. Combines the wake requests of many
+// routers into one load.
 #ifndef HINGESPAN_PLACEMENT_PLACER_H_
 #define HINGESPAN_PLACEMENT_PLACER_H_
 
@@ -23,23 +24,25 @@
 namespace hingespan {
 
 struct PlacerOptions {
-  // A load request to a keeper is repeated after this long without an answer.
+  // A load request that its keeper has not answered is repeated after this time.
   absl::Duration load_retry = absl::Milliseconds(300);
-  // When one more replica is loaded than are ready or loading.
+  // Policy that decides when to load more replicas than are ready or loading.
   ReplicaCountOptions replica_count;
-  // Expected time of a load while no keeper has said how long one of the model takes.
+  // Expected load time until a keeper has reported one for the model.
   LoadEstimatorOptions load_times;
-  // An accepted load is confirmed with its keeper this often, so that a new keeper learns of it.
+  // Interval at which an accepted load is confirmed with its keeper, so that a new keeper learns of
+  // it.
   absl::Duration load_confirm = absl::Seconds(1);
-  // A keeper that does not answer for this long is passed over.
+  // A keeper that does not answer within this time is skipped.
   absl::Duration load_give_up = absl::Seconds(3);
-  // A keeper that refused is not asked again before this.
+  // A keeper that refused is not asked again within this time.
   absl::Duration refusal_memory = absl::Seconds(1);
   // Requests wait this long for a grant that may still be written.
   absl::Duration grant_grace = absl::Seconds(2);
-  // A router that has not repeated its wake request for this long does not wait any more.
+  // A router that has not repeated its wake request within this time is no longer considered
+  // waiting.
   absl::Duration waiter_timeout = absl::Seconds(2);
-  // For tests only: load on every wake request, on every granted worker.
+  // For tests only: loads on every granted worker at every wake request.
   bool disable_coalescing_for_test = false;
 };
 
@@ -49,34 +52,35 @@
   Placer(NodeId self, ZoneId zone, PlacerOptions options, const RecordStore* store,
          const ReplicaDirectory* directory);
 
-  // Handles a wake request of `from` (a node of the zone, also this one) and answers it.
-  // `keeper_of` names a worker's keeper. `placer_of` is not needed: an adapter's keeper loads the
-  // base, on the adapter's own worker.
+  // Handles and answers a wake request of `from`, which is a node of the zone and may be this one.
+  // `keeper_of` returns the keeper of a worker. `placer_of` is unused: an adapter's keeper loads
+  // the base on the adapter's own worker.
   void HandleWake(const NodeId& from, const WakeRequest& request,
                   const std::function<NodeId(const WorkerId&)>& keeper_of,
                   const std::function<NodeId(const ModelName&)>& placer_of, absl::Time now,
                   Outbox* outbox);
   void HandleLoadReply(const NodeId& from, const LoadReply& reply, absl::Time now, Outbox* outbox);
-  // The model's row may have changed.
+  // Must be called when the model's row may have changed.
   void NoteRow(const ModelName& model);
-  // Repeats unanswered loads, keeps min_replicas loaded for models that `is_mine`.
+  // Repeats unanswered load requests, and keeps min_replicas loaded for models for which `is_mine`
+  // returns true.
   void Tick(const std::function<bool(const ModelName&)>& is_mine,
             const std::function<NodeId(const WorkerId&)>& keeper_of, absl::Time now,
             Outbox* outbox);
 
  private:
   enum class AttemptStage { kUnanswered, kAccepted, kRefused };
-  // A load asked of one worker's keeper.
+  // A load requested from one worker's keeper.
   struct Attempt {
     WorkerId worker;
     WorkerIncarnation incarnation;
     GrantGeneration generation;
     AttemptStage stage = AttemptStage::kUnanswered;
     LoadOutcome outcome = LoadOutcome::kAccepted;
-    absl::Time heard_at;
+    absl::Time received_at;
     absl::Time next_send;
     absl::Time expected_ready = absl::InfiniteFuture();
-    // Only for kRefused: may be asked again from then on.
+    // Set for kRefused only: the time from which the keeper may be asked again.
     absl::Time refused_until = absl::InfinitePast();
   };
   struct Waiter {
@@ -85,59 +89,62 @@
     absl::Time latest_deadline;
     // See WakeRequest::service_ms.
     absl::Duration service;
-    absl::Time heard_at;
+    absl::Time received_at;
   };
-  // A model that requests wait for.
-  struct Cold {
-    explicit Cold(absl::Time now) : began(now) {}
-    // When the first of these requests was heard of.
-    absl::Time began;
+  // State of a model that requests wait for.
+  struct ColdModel {
+    explicit ColdModel(absl::Time now) : first_request_at(now) {}
+    // Time at which the first of these requests was received.
+    absl::Time first_request_at;
     std::vector<Attempt> attempts;
-    // Time of a load of this model, as the latest keeper to accept one expected.
-    std::optional<absl::Duration> load_seen;
-    // Routers that wait, to be told of a refusal.
+    // Load time of this model as estimated by the keeper that most recently accepted one.
+    std::optional<absl::Duration> reported_load_time;
+    // Routers that wait and must be notified of a refusal.
     absl::btree_map<NodeId, Waiter> waiters;
-    // Ready replicas, and since when they are; InfinitePast for those from before `began`.
+    // Time at which each ready replica was first seen; InfinitePast for replicas that were ready
+    // before `first_request_at`.
     absl::btree_map<WorkerId, absl::Time> ready_since;
     absl::Time last_wake;
-    // Since when there is no worker to ask.
-    absl::Time stuck_since = absl::InfiniteFuture();
+    // Time since which no worker can be asked.
+    absl::Time no_worker_since = absl::InfiniteFuture();
   };
   // A granted slot whose worker may receive work.
   struct Candidate {
     GrantSlot slot;
-    // 0: the adapter's base is not on the worker; 1: it is loading; 2: it is ready.
+    // 0: the adapter's base is not on the worker; 1: the base is loading; 2: the base is ready.
     int base_rank = 0;
     std::uint32_t free_mib = 0;
   };
 
   // Spec action: RequestLoad.
-  void StartLoads(const ModelRow& row, Cold* cold,
+  void StartLoads(const ModelRow& row, ColdModel* cold,
                   const std::function<NodeId(const WorkerId&)>& keeper_of, absl::Time now,
                   Outbox* outbox);
-  void NoteReadyReplicas(const ModelName& model, absl::Time now, Cold* cold) const;
-  ReplicaDemand DemandFor(const ModelRow& row, const Cold& cold, absl::Time now) const;
-  absl::btree_map<WorkerId, ReplicaSupply> Supplies(const ModelName& model, const Cold& cold,
+  void UpdateReadyReplicas(const ModelName& model, absl::Time now, ColdModel* cold) const;
+  ReplicaDemand DemandFor(const ModelRow& row, const ColdModel& cold, absl::Time now) const;
+  absl::btree_map<WorkerId, ReplicaSupply> Supplies(const ModelName& model, const ColdModel& cold,
                                                     absl::Duration load, absl::Time now) const;
-  std::vector<Candidate> Candidates(const ModelRow& row, const Cold& cold, absl::Time now) const;
+  std::vector<Candidate> Candidates(const ModelRow& row, const ColdModel& cold,
+                                    absl::Time now) const;
   Candidate Describe(const ModelRow& row, const GrantSlot& slot) const;
-  static bool HasAttempt(const Cold& cold, const GrantSlot& slot);
-  static bool AnyRefusedForMemory(const Cold& cold);
-  static std::uint32_t TotalWaiting(const Cold& cold);
-  void NoteReply(const LoadReply& reply, absl::Time now, Attempt* attempt) const;
-  void SendLoad(const ModelName& model, const Cold& cold, Attempt* attempt,
+  static bool HasAttempt(const ColdModel& cold, const GrantSlot& slot);
+  static bool AnyRefusedForMemory(const ColdModel& cold);
+  static std::uint32_t TotalWaiting(const ColdModel& cold);
+  void ApplyReply(const LoadReply& reply, absl::Time now, Attempt* attempt) const;
+  void SendLoad(const ModelName& model, const ColdModel& cold, Attempt* attempt,
                 const std::function<NodeId(const WorkerId&)>& keeper_of, absl::Time now,
                 Outbox* outbox) const;
-  void RepeatLoads(const ModelName& model, Cold* cold,
+  void RepeatLoads(const ModelName& model, ColdModel* cold,
                    const std::function<NodeId(const WorkerId&)>& keeper_of, absl::Time now,
                    Outbox* outbox) const;
-  void DropEndedAttempts(const ModelName& model, Cold* cold, absl::Time now) const;
-  void DropSilentWaiters(const ModelName& model, Cold* cold, absl::Time now) const;
-  // What the waiters of a model are told now.
-  WakeReply Outlook(const ModelRow& row, const Cold& cold, absl::Time now) const;
-  WakeReply StuckOutlook(const ModelRow& row, const Cold& cold, absl::Time now) const;
-  void RefuseIfHopeless(const ModelRow& row, Cold* cold, absl::Time now, Outbox* outbox) const;
-  static void TellWaiters(const WakeReply& reply, Cold* cold, Outbox* outbox);
+  void DropEndedAttempts(const ModelName& model, ColdModel* cold, absl::Time now) const;
+  void DropExpiredWaiters(const ModelName& model, ColdModel* cold, absl::Time now) const;
+  // Returns the answer for a model's waiters as of now.
+  WakeReply CurrentReply(const ModelRow& row, const ColdModel& cold, absl::Time now) const;
+  WakeReply ReplyWithoutWorker(const ModelRow& row, const ColdModel& cold, absl::Time now) const;
+  void RefuseIfUnservable(const ModelRow& row, ColdModel* cold, absl::Time now,
+                          Outbox* outbox) const;
+  static void NotifyWaiters(const WakeReply& reply, ColdModel* cold, Outbox* outbox);
   void KeepMinimum(const std::function<bool(const ModelName&)>& is_mine,
                    const std::function<NodeId(const WorkerId&)>& keeper_of, absl::Time now,
                    Outbox* outbox);
@@ -151,9 +158,9 @@
   LoadEstimator load_times_;
   const RecordStore* store_;
   const ReplicaDirectory* directory_;
-  absl::flat_hash_map<ModelName, Cold> cold_;
+  absl::flat_hash_map<ModelName, ColdModel> cold_models_;
   absl::Time next_minimum_check_ = absl::InfinitePast();
-  // Rows with min_replicas.
+  // Models whose rows set min_replicas.
   absl::btree_set<ModelName> minimum_models_;
 };
 
--- a/include/hingespan/placement/replica_count_policy.h
+++ b/include/hingespan/placement/replica_count_policy.h
@@ -1,4 +1,4 @@
-// Pure policy: whether the requests that wait for a model need one more replica of it.
+// Pure policy that decides whether the requests that wait for a model need one more replica of it.
 #ifndef HINGESPAN_PLACEMENT_REPLICA_COUNT_POLICY_H_
 #define HINGESPAN_PLACEMENT_REPLICA_COUNT_POLICY_H_
 
@@ -10,13 +10,14 @@
 namespace hingespan {
 
 struct ReplicaCountOptions {
-  // Time of a request at an engine, before any of the model was seen.
+  // Assumed time of a request at an engine until one of the model has been observed.
   absl::Duration first_service = absl::Seconds(2);
-  // Part of the time left that an expected wait may take; the rest is for the answer.
+  // Fraction of the remaining time that the expected wait may take; the rest is reserved for the
+  // answer.
   double wait_share = 0.8;
 };
 
-// Requests that wait at one router; their deadlines are taken to be spread evenly.
+// Requests that wait at one router. Their deadlines are assumed to be spread evenly.
 struct WaitingRequests {
   std::uint32_t count = 0;
   absl::Duration earliest_left;
@@ -24,19 +25,19 @@
 };
 
 struct ReplicaSupply {
-  // Time until it takes requests.
+  // Time until the replica accepts requests.
   absl::Duration ready_in;
-  // All its places are taken: one gets free whenever a request ends.
+  // True if all places of the replica are taken; one becomes free whenever a request ends.
   bool full = false;
 };
 
 struct ReplicaDemand {
   std::vector<WaitingRequests> waiting;
-  // Replicas that are ready, loading or asked for.
+  // Replicas that are ready, loading or requested.
   std::vector<ReplicaSupply> replicas;
-  // Requests at one replica at once.
+  // Maximum number of concurrent requests at one replica.
   std::uint32_t slots = 1;
-  // Mean time of a request at an engine; 0: none seen.
+  // Mean time of a request at an engine; 0 if none has been observed.
   absl::Duration service;
   // Time until one more replica would be ready.
   absl::Duration load;
@@ -46,14 +47,14 @@
  public:
   explicit ReplicaCountPolicy(ReplicaCountOptions options) : options_(options) {}
 
-  // True when some of the waiting requests are expected to get no place in time, and one more
+  // Returns true if some of the waiting requests are expected to get no place in time, and one more
   // replica would be ready before their deadline.
   bool NeedsAnother(const ReplicaDemand& demand) const;
 
  private:
-  // Waiting requests that must have a place by `time`.
+  // Returns the number of waiting requests that must have a place by `time`.
   double DueBy(const ReplicaDemand& demand, absl::Duration time) const;
-  // Places that get free until `time`.
+  // Returns the number of places that become free by `time`.
   double PlacesBy(const ReplicaDemand& demand, absl::Duration time) const;
 
   ReplicaCountOptions options_;
--- a/include/hingespan/placement/worker_keeper.h
+++ b/include/hingespan/placement/worker_keeper.h
@@ -1,8 +1,9 @@
-// Keeper of one worker: fences the engine, reads its inventory, keeps the memory ledger, orders
-// loads and unloads, and tells the zone what is loaded.
+// Keeper of one worker: fences the engine, reads its inventory, maintains the memory ledger, orders
+// loads and unloads, and reports to the zone what is loaded.
 //
-// States: kFencing (asking the engine for a higher epoch) -> kHolding (inventory under own fence;
-// orders may go out) -> kFenced (the engine knows a higher epoch: another node keeps it) .
+// States: kFencing (requesting a higher epoch from the engine) -> kHolding (the inventory was read
+// under this keeper's fence; orders may be sent) -> kFenced (the engine has seen a higher epoch, so
+// another node keeps it).
 #ifndef HINGESPAN_PLACEMENT_WORKER_KEEPER_H_
 #define HINGESPAN_PLACEMENT_WORKER_KEEPER_H_
 
@@ -29,35 +30,36 @@
 namespace hingespan {
 
 struct KeeperOptions {
-  // Least time between two reports of load or memory to the zone; other changes are reported at
-  // once, and once more after this long.
+  // Minimum time between two reports of load or memory to the zone. Other changes are reported at
+  // once, and once more after this time.
   absl::Duration report_interval = absl::Seconds(2);
-  // Between two heartbeats of a node for all workers that it keeps.
+  // Time between two heartbeats that a node sends for all workers that it keeps.
   absl::Duration heartbeat_interval = absl::Seconds(4);
-  // Between two status calls to the engine.
+  // Time between two status calls to the engine.
   absl::Duration status_interval = absl::Seconds(1);
-  // While a load or unload is under way the engine is asked this often.
+  // Time between two status calls while a load or unload is in progress.
   absl::Duration busy_status_interval = absl::Milliseconds(100);
-  // First wait before fencing again; doubles each time that another node takes the worker over.
+  // Initial backoff before fencing again; doubles each time that another node takes over the
+  // worker.
   absl::Duration fence_retry = absl::Milliseconds(300);
   // An engine call without an answer for this long counts as lost. Longer than the driver's own
-  // time limit, so that it is used only when the driver forgets a call.
+  // timeout, so that it applies only if the driver loses a call.
   absl::Duration call_timeout = absl::Seconds(10);
-  // A lost order is repeated after this long.
+  // A lost order is repeated after this time.
   absl::Duration order_retry = absl::Milliseconds(100);
-  // A replica is not unloaded for idleness before it has been ready for this long: its first
-  // requests may be on their way, and the engine's load figures lag.
+  // A replica is not unloaded as idle until it has been ready for this long: its first requests may
+  // be in flight, and the engine's load figures lag.
   absl::Duration minimum_residence = absl::Seconds(1);
   absl::Duration permit_retry = absl::Milliseconds(300);
   KeepWarmOptions keep_warm;
   LoadEstimatorOptions estimator;
-  // Loads wait for a permit of the zone's permit holder.
+  // If true, loads wait for a permit of the zone's permit holder.
   bool use_permits = false;
-  // A permit is used within this long after it was first asked for, or returned.
+  // A permit that is not used within this time of its first request is returned.
   absl::Duration permit_use_within = absl::Seconds(5);
-  // For tests only: order without reserving memory.
+  // For tests only: orders loads without reserving memory.
   bool disable_ledger_for_test = false;
-  // For tests only: every order names the engine's newest fence, so that it is never refused.
+  // For tests only: every order carries the highest possible fence, so that it is never refused.
   bool disable_fence_for_test = false;
 };
 
@@ -68,7 +70,7 @@
  public:
   WorkerKeeper(NodeId self, WorkerMachine machine, KeeperOptions options, const RecordStore* store);
 
-  // `peers`: nodes of the zone that hear of changes. `permit_holder`: whom to ask for permits.
+  // `peers`: nodes of the zone that receive changes. `permit_holder`: node that grants permits.
   void Tick(const std::vector<NodeId>& peers, const NodeId& permit_holder, absl::Time now,
             Outbox* outbox);
   void HandleAnswer(const EngineAnswer& answer, const std::vector<NodeId>& peers, absl::Time now,
@@ -78,39 +80,40 @@
   // Spec action: ConfirmRevoke.
   RevokeReply HandleRevoke(const RevokeRequest& request, absl::Time now, Outbox* outbox);
   void HandlePermit(const PermitReply& reply, absl::Time now, Outbox* outbox);
-  // All parts of the list, for a ReplicaListRequest or for this node's own directory.
+  // Returns all parts of the list, for a ReplicaListRequest or for this node's own directory.
   std::vector<ReplicaList> ListReplicas(absl::Time now) const;
-  // Each call gives the report a higher sequence.
+  // Returns a report with a sequence number higher than that of any earlier call.
   // Spec action: SendReport.
   WorkerReport Report();
-  // The newest report to the zone; null before the first, and while another node keeps the worker.
+  // Returns the newest report to the zone, or null before the first one and while another node
+  // keeps the worker.
   const WorkerReport* SentReport() const;
-  // Confirms SentReport.
+  // Returns a heartbeat that confirms SentReport().
   std::optional<WorkerHeartbeat> Heartbeat() const;
-  // The machine list changed its mind about this worker.
+  // Applies a change of this worker's entry in the machine list.
   // Spec action: BeginLeave.
   void SetMachine(const WorkerMachine& machine);
 
   KeeperState state() const { return state_; }
   const MemoryLedger& ledger() const { return ledger_; }
-  // Replica changes since the last call, for this node's own directory.
+  // Returns the replica changes since the last call, for this node's own directory.
   std::vector<ReplicaUpdate> TakeLocalUpdates();
 
  private:
   enum class OrderKind { kNone, kLoad, kUnload };
-  // kUnanswered: sent. kLost: it may or may not have been applied, now or later. kSettled:
-  // answered; with that, every earlier order for the model is void.
+  // kUnanswered: sent without an answer so far. kLost: may or may not have been applied, or may be
+  // applied later. kSettled: answered, which makes every earlier order for the model void.
   enum class OrderStage { kUnanswered, kLost, kSettled };
 
   // A model that has a replica, an order or a revocation at this worker.
   struct Replica {
     GrantGeneration generation;
     ReplicaState state = ReplicaState::kLoading;
-    // False for a revocation of a slot that holds no replica: nobody hears of it.
+    // False for a revocation of a slot that holds no replica: peers receive no update for it.
     bool announced = true;
-    // The engine has shown it under the present fence.
-    bool shown = false;
-    // The engine refused the newest load order.
+    // True if the engine has reported the replica under the current fence.
+    bool reported_by_engine = false;
+    // True if the engine refused the newest load order.
     bool load_refused = false;
     std::uint32_t memory_mib = 0;
     std::uint32_t running = 0;
@@ -120,34 +123,34 @@
     absl::Time load_started;
     absl::Time expected_ready;
     absl::Time ready_since = absl::InfinitePast();
-    // A lost load is given up at this time.
+    // Time at which a lost load is abandoned.
     absl::Time load_deadline = absl::InfinitePast();
-    // The newest order.
+    // State of the newest order.
     OrderKind order = OrderKind::kNone;
     OrderStage stage = OrderStage::kSettled;
     OrderSequence order_sequence;
     GrantGeneration order_generation;
-    absl::Time next_try = absl::InfinitePast();
-    // Engine calls below this number were sent before the model was known here.
+    absl::Time retry_at = absl::InfinitePast();
+    // Engine calls with a lower number were sent before the model was known here.
     std::uint64_t first_call = 0;
-    // Only calls from this number on, sent after the newest order settled, can show that the
-    // replica is gone.
-    std::uint64_t evidence_from = 0;
+    // Only calls from this number on, which were sent after the newest order settled, can show that
+    // the replica is gone.
+    std::uint64_t conclusive_from_call = 0;
   };
-  // Asked for, and held once granted.
+  // A permit that was requested, and is held once granted.
   struct Permit {
     std::uint64_t number = 0;
     absl::Time asked_at;
     bool granted = false;
   };
-  // A load that waits for memory (evictions under way), its base or a permit.
+  // A load that waits for memory (evictions in progress), its base or a permit.
   struct WaitingLoad {
     LoadRequest request;
     absl::Time deadline;
     absl::Time next_permit_request = absl::InfinitePast();
   };
   struct PendingCall {
-    // kNone: a fence or status call.
+    // kNone for a fence or status call.
     OrderKind order = OrderKind::kNone;
     bool is_fence = false;
     ModelName model;
@@ -159,7 +162,8 @@
     std::vector<double> gaps;
     absl::Time last_used = absl::InfinitePast();
   };
-  // Replicas that are unloaded together, in the order of their orders, and what they are worth.
+  // Replicas that are unloaded together, listed in unload order, and the properties of the group as
+  // one replica.
   struct EvictionGroup {
     std::vector<ModelName> members;
     IdleReplica sum;
@@ -181,34 +185,34 @@
   // Spec action: OrderAnswered.
   void HandleOrderAnswer(const EngineAnswer& answer, const PendingCall& call, absl::Time now,
                          Outbox* outbox);
-  void AbsorbAnswer(const EngineAnswer& answer, absl::Time now, Outbox* outbox);
-  bool HoldsUnder(const EngineStatus& status, absl::Time now);
-  void NoteReachable(bool answered);
+  void ProcessAnswer(const EngineAnswer& answer, absl::Time now, Outbox* outbox);
+  bool CheckFence(const EngineStatus& status, absl::Time now);
+  void UpdateReachability(bool answered);
   std::uint64_t Call(EngineCall call, PendingCall pending, absl::Time now, Outbox* outbox);
   OrderFence NextFence(GrantGeneration generation);
   bool IsBusy() const;
   absl::Time NextStatus(absl::Time now) const;
 
   // Inventory: worker_keeper_inventory.cc.
-  void Absorb(const EngineStatus& status, std::uint64_t call, absl::Time now, Outbox* outbox);
-  void AbsorbReplica(const EngineReplica& shown, std::uint64_t call, absl::Time now);
-  void AdoptReplica(const EngineReplica& shown, absl::Time now);
+  void ApplyStatus(const EngineStatus& status, std::uint64_t call, absl::Time now, Outbox* outbox);
+  void ApplyReplicaStatus(const EngineReplica& reported, std::uint64_t call, absl::Time now);
+  void AdoptReplica(const EngineReplica& reported, absl::Time now);
   // Spec action: ConfirmGone.
   bool IsGone(const Replica& replica, std::uint64_t call) const;
   // Spec actions: ConfirmGone, ConfirmRevoke.
   void ConfirmGone(const ModelName& model, absl::Time now);
-  void NoteCall(const ModelName& model, const EngineReplica& shown, const Replica& held,
-                absl::Time now);
+  void RecordCall(const ModelName& model, const EngineReplica& reported, const Replica& held,
+                  absl::Time now);
   void SetState(const ModelName& model, Replica* replica, ReplicaState state, absl::Time now);
   void Announce(const ModelName& model, bool removed, absl::Time now);
 
-  // What the zone is told: worker_keeper_reports.cc.
+  // Reports to the zone: worker_keeper_reports.cc.
   void SetPeers(const std::vector<NodeId>& peers);
   void SendAnnouncements(absl::Time now, Outbox* outbox);
   void SendUpdates(Outbox* outbox);
   // Spec action: SendReport.
   void SendReports(absl::Time now, Outbox* outbox);
-  // The worker as it is now; the sequence is that of the last report.
+  // Describes the worker's current state with the sequence number of the last report.
   WorkerReport Describe() const;
 
   // Loads and unloads: worker_keeper_loads.cc.
@@ -216,12 +220,14 @@
   void EnqueueLoad(const LoadRequest& request, absl::Time now);
   void EnqueueBase(const LoadRequest& request, absl::Time now);
   void TryStartLoads(absl::Time now, Outbox* outbox);
-  // False: the load goes on waiting. `claimed_mib`: memory of loads with an earlier deadline.
-  bool TryStartLoad(const ModelRow& row, std::uint64_t claimed_mib, absl::Time now, Outbox* outbox);
+  // Returns false if the load keeps waiting. `earlier_loads_mib`: memory needed by loads with an
+  // earlier deadline.
+  bool TryStartLoad(const ModelRow& row, std::uint64_t earlier_loads_mib, absl::Time now,
+                    Outbox* outbox);
   std::vector<ModelName> WaitingByDeadline() const;
   void DropExpiredLoads(absl::Time now);
   bool HasPermit(const ModelName& model, absl::Time now) const;
-  void AskPermit(const ModelName& model, WaitingLoad* load, absl::Time now, Outbox* outbox);
+  void RequestPermit(const ModelName& model, WaitingLoad* load, absl::Time now, Outbox* outbox);
   void ReleaseUnusedPermits(Outbox* outbox);
   void ReturnPermit(const ModelName& model, std::uint64_t number, Outbox* outbox);
   void OrderLoad(const LoadRequest& request, const ModelRow& row, absl::Time deadline,
@@ -238,7 +244,7 @@
   bool CanMakeRoom(const ModelName& model, std::uint32_t needed_mib, absl::Time now) const;
   std::vector<EvictionGroup> EvictionGroups(absl::Time now) const;
   IdleReplica DescribeGroup(const std::vector<ModelName>& members, absl::Time now) const;
-  // The base of an adapter; empty for other rows.
+  // Returns the base of an adapter, or an empty name for other rows.
   ModelName BaseNameOf(const ModelName& model) const;
   std::vector<IdleReplica> IdleReplicas(absl::Time now) const;
   IdleReplica DescribeIdle(const ModelName& model, const Replica& replica, absl::Time now) const;
@@ -256,7 +262,7 @@
   KeeperOptions options_;
   const RecordStore* store_;
   KeeperState state_ = KeeperState::kFencing;
-  // Of the last fence that was granted to this keeper.
+  // Incarnation and epoch of the last fence that the engine granted to this keeper.
   WorkerIncarnation incarnation_;
   KeeperEpoch epoch_;
   OrderSequence sequence_;
@@ -269,7 +275,7 @@
   absl::btree_map<ModelName, RevokeRequest> revocations_;
   // Highest generation confirmed as revoked, by model, within this incarnation.
   absl::flat_hash_map<ModelName, GrantGeneration> revoked_;
-  // Loads that the engine refused for want of memory, and until when not to try again.
+  // Time until which a load that the engine refused for lack of memory is not tried again.
   absl::flat_hash_map<ModelName, absl::Time> refused_until_;
   absl::flat_hash_map<ModelName, CallHistory> histories_;
   absl::btree_map<ModelName, Permit> permits_;
@@ -277,9 +283,9 @@
   std::vector<CachedCheckpoint> cached_;
   std::vector<ReplicaUpdate> pending_updates_;
   std::vector<ReplicaUpdate> local_updates_;
-  // As of the last Tick or answer.
+  // Peers as of the last Tick or answer.
   std::vector<NodeId> peers_;
-  // Peers that came since the last report.
+  // Peers added since the last report.
   std::vector<NodeId> new_peers_;
   std::optional<WorkerReport> sent_report_;
   NodeId permit_holder_;
@@ -290,18 +296,18 @@
   int times_fenced_ = 0;
   absl::Time holding_since_ = absl::InfinitePast();
   absl::Time next_status_ = absl::InfinitePast();
-  // When a change of load may be reported, and when the newest report is repeated.
+  // Times from which a change of load may be reported, and at which the newest report is repeated.
   absl::Time next_report_ = absl::InfinitePast();
   absl::Time repeat_report_ = absl::InfiniteFuture();
   absl::Time next_fence_ = absl::InfinitePast();
   absl::btree_map<std::uint64_t, PendingCall> calls_;
   std::uint64_t next_call_ = 1;
-  // The outstanding fence or status call; 0: none.
+  // Number of the outstanding fence or status call, or 0 if there is none.
   std::uint64_t control_call_ = 0;
-  // Answers to calls below this one are older than what was absorbed.
-  std::uint64_t newest_absorbed_ = 0;
+  // Status answers to calls with a lower number are outdated and ignored.
+  std::uint64_t newest_applied_call_ = 0;
   // Calls from this number on can't show replicas that were confirmed gone before.
-  std::uint64_t unknown_from_ = 0;
+  std::uint64_t unknown_from_call_ = 0;
 };
 
 }  // namespace hingespan
--- a/src/placement/keep_warm_policy.cc
+++ b/src/placement/keep_warm_policy.cc
@@ -7,12 +7,12 @@
 namespace {
 
 constexpr double kMibPerGib = 1024.0;
-// With fewer known gaps between calls, the break-even time decides alone.
-constexpr std::size_t kFewestGaps = 3;
-// A replica is kept a little longer than the gap that it waits for.
+// If fewer gaps between calls are known, only the break-even time is considered.
+constexpr std::size_t kMinimumGaps = 3;
+// Factor that keeps a replica slightly longer than the gap that it is meant to cover.
 constexpr double kGapMargin = 1.1;
-// Keeps the chance of a call finite for replicas that were called just now.
-constexpr double kShortestMeanGapSeconds = 0.1;
+// Lower bound that keeps the call rate finite for replicas that were called just now.
+constexpr double kMinimumMeanGapSeconds = 0.1;
 
 double ColdStartCost(const IdleReplica& replica, const KeepWarmOptions& options) {
   return absl::ToDoubleSeconds(replica.reload_time) * options.cold_start_cost_per_second;
@@ -22,7 +22,7 @@
   return replica.memory_mib / kMibPerGib * options.idle_cost_per_gib_second;
 }
 
-// Mean cost per gap of keeping an idle replica for `limit_seconds`, over the known gaps.
+// Returns the mean cost per known gap of keeping an idle replica for `limit_seconds`.
 double MeanCost(const IdleReplica& replica, const KeepWarmOptions& options, double limit_seconds) {
   const double idle_cost = IdleCostPerSecond(replica, options);
   const double cold_cost = ColdStartCost(replica, options);
@@ -34,8 +34,8 @@
   return sum / static_cast<double>(replica.recent_gaps.size());
 }
 
-// The idle time at which keeping has cost as much as one cold start: at most twice the cost of the
-// best choice, whatever the gaps are.
+// Returns the idle time after which keeping has cost as much as one cold start. This costs at most
+// twice as much as the best choice for any sequence of gaps.
 double BreakEvenSeconds(const IdleReplica& replica, const KeepWarmOptions& options) {
   const double idle_cost = IdleCostPerSecond(replica, options);
   if (idle_cost <= 0.0) {
@@ -46,7 +46,7 @@
 
 absl::Duration WeightedLimit(const IdleReplica& replica, const KeepWarmOptions& options) {
   double best_limit = BreakEvenSeconds(replica, options);
-  if (replica.recent_gaps.size() >= kFewestGaps) {
+  if (replica.recent_gaps.size() >= kMinimumGaps) {
     double best_cost = MeanCost(replica, options, best_limit);
     std::vector<double> candidates = {0.0};
     for (const double gap : replica.recent_gaps) {
@@ -66,24 +66,25 @@
   return absl::Seconds(std::clamp(best_limit, shortest, longest));
 }
 
-// Expected seconds until the next call: the mean of the known gaps, or as long as it is idle now.
+// Returns the expected seconds until the next call: the mean of the known gaps, or the current idle
+// time if that is longer.
 double ExpectedGapSeconds(const IdleReplica& replica) {
   double gap = absl::ToDoubleSeconds(replica.idle);
   if (!replica.recent_gaps.empty()) {
     const double sum = std::accumulate(replica.recent_gaps.begin(), replica.recent_gaps.end(), 0.0);
     gap = std::max(gap, sum / static_cast<double>(replica.recent_gaps.size()));
   }
-  return std::max(gap, kShortestMeanGapSeconds);
+  return std::max(gap, kMinimumMeanGapSeconds);
 }
 
-// Loss of unloading, for each MiB that it frees.
+// Returns the expected loss per MiB that unloading the replica frees.
 double LossPerMib(const IdleReplica& replica, const KeepWarmOptions& options) {
   const double memory_mib = std::max(1.0, static_cast<double>(replica.memory_mib));
   return ColdStartCost(replica, options) / ExpectedGapSeconds(replica) / memory_mib;
 }
 
-// Drops choices that are not needed, the costliest first.
-void DropNeedless(const std::vector<IdleReplica>& idle, std::uint64_t needed_mib,
+// Removes choices that are not needed, most expensive first.
+void DropUnneeded(const std::vector<IdleReplica>& idle, std::uint64_t needed_mib,
                   std::uint64_t freed_mib, std::vector<std::size_t>* chosen) {
   for (std::size_t position = chosen->size(); position-- > 0;) {
     const std::uint64_t memory_mib = idle[(*chosen)[position]].memory_mib;
@@ -139,7 +140,7 @@
   if (freed_mib < needed_mib) {
     return {};
   }
-  DropNeedless(idle, needed_mib, freed_mib, &chosen);
+  DropUnneeded(idle, needed_mib, freed_mib, &chosen);
   return chosen;
 }
 
--- a/src/placement/permit_election.cc
+++ b/src/placement/permit_election.cc
@@ -6,9 +6,10 @@
 namespace hingespan {
 namespace {
 
-// Parts of a lease: the least time between two rounds of votes, and what is left of it at renewal.
-constexpr double kRoundShare = 0.1;
-constexpr double kRenewShare = 0.5;
+// Fractions of a lease: minimum time between two rounds of votes, and remaining time at which votes
+// are renewed.
+constexpr double kRoundIntervalFraction = 0.1;
+constexpr double kRenewalFraction = 0.5;
 
 }  // namespace
 
@@ -21,22 +22,24 @@
   UpdateAuthority(now);
   if (!is_candidate) {
     votes_.clear();
-    rounds_.clear();
+    round_sent_at_.clear();
     held_since_ = absl::InfiniteFuture();
     return;
   }
-  if (!rounds_.empty() && now - rounds_.rbegin()->second < options_.lease * kRoundShare) {
+  if (!round_sent_at_.empty() &&
+      now - round_sent_at_.rbegin()->second < options_.lease * kRoundIntervalFraction) {
     return;
   }
-  // Renewed in good time only: with many voters a round is many messages.
-  const bool renewed = VotedUntil() - now > UsableLease(options_) * kRenewShare;
+  // Votes are renewed only shortly before they are needed, as a round with many voters takes many
+  // messages.
+  const bool renewed = VotedUntil() - now > UsableLease(options_) * kRenewalFraction;
   if (renewed && held_since_ <= now) {
     return;
   }
   ++round_;
-  rounds_[round_] = now;
-  while (now - rounds_.begin()->second >= options_.lease) {
-    rounds_.erase(rounds_.begin());
+  round_sent_at_[round_] = now;
+  while (now - round_sent_at_.begin()->second >= options_.lease) {
+    round_sent_at_.erase(round_sent_at_.begin());
   }
   if (Vote(self_, now)) {
     votes_[self_.first] = now + UsableLease(options_);
@@ -55,13 +58,13 @@
 
 void PermitElection::Handle(const Envelope& envelope, const PermitVoteReply& reply,
                             absl::Time now) {
-  const auto round = rounds_.find(reply.round);
-  if (!reply.granted || round == rounds_.end()) {
+  const auto round = round_sent_at_.find(reply.round);
+  if (!reply.granted || round == round_sent_at_.end()) {
     return;
   }
   UpdateAuthority(now);
-  absl::Time& counts_until = votes_.try_emplace(envelope.from, absl::InfinitePast()).first->second;
-  counts_until = std::max(counts_until, round->second + UsableLease(options_));
+  absl::Time& valid_until = votes_.try_emplace(envelope.from, absl::InfinitePast()).first->second;
+  valid_until = std::max(valid_until, round->second + UsableLease(options_));
   UpdateAuthority(now);
 }
 
@@ -73,11 +76,11 @@
   if (first_tick_ > now || now - first_tick_ < options_.lease) {
     return false;
   }
-  if (candidate != promised_to_ && now < promised_until_) {
+  if (candidate != voted_for_ && now < vote_until_) {
     return false;
   }
-  promised_to_ = candidate;
-  promised_until_ = std::max(promised_until_, now + options_.lease);
+  voted_for_ = candidate;
+  vote_until_ = std::max(vote_until_, now + options_.lease);
   return true;
 }
 
@@ -89,7 +92,7 @@
   }
 }
 
-// Until when more than half of the zone's nodes have promised.
+// Returns the time until which more than half of the zone's nodes have given their vote.
 absl::Time PermitElection::VotedUntil() const {
   const std::size_t needed = options_.zone_nodes / 2 + 1;
   if (votes_.size() < needed) {
--- a/src/placement/permit_holder.cc
+++ b/src/placement/permit_holder.cc
@@ -6,8 +6,8 @@
 namespace hingespan {
 namespace {
 
-constexpr double kLowestRate = 0.001;
-constexpr double kMostTokens = 1.0;
+constexpr double kMinimumRate = 0.001;
+constexpr double kMaximumTokens = 1.0;
 
 }  // namespace
 
@@ -16,7 +16,7 @@
     : options_(options),
       election_(self, incarnation, options),
       lending_(self, incarnation, std::move(zone), std::move(zones), options) {
-  options_.rate_per_second = std::max(options_.rate_per_second, kLowestRate);
+  options_.rate_per_second = std::max(options_.rate_per_second, kMinimumRate);
 }
 
 void PermitHolder::Tick(const View& view, absl::Time now, Outbox* outbox) {
@@ -43,7 +43,7 @@
     Answer(envelope.from, load, request.number, same, absl::ZeroDuration(), outbox);
     return;
   }
-  // A newer number: the keeper has given up the permit before.
+  // A higher number means that the keeper has given up its earlier permit.
   Release(load, request.number);
   waiting_[load] = {envelope.from, request.number, request.waiting,
                     now + absl::Milliseconds(request.earliest_deadline_ms), now};
@@ -90,7 +90,7 @@
   slots_at_refill_ = slots(now);
 }
 
-// A late return of an earlier permit changes nothing.
+// A late return of an earlier permit has no effect.
 void PermitHolder::Release(const LoadId& load, std::uint64_t number) {
   const auto held = granted_.find(load);
   if (held != granted_.end() && held->second.number <= number) {
@@ -102,12 +102,13 @@
   }
 }
 
-// By the slots held over the whole time since the last refill; some may have lapsed meanwhile.
+// Counts only slots that were held for the whole time since the last refill, as some may have
+// lapsed meanwhile.
 void PermitHolder::Refill(absl::Time now) {
   const std::uint32_t held = std::min(slots_at_refill_, slots(now));
   if (refilled_at_ != absl::InfinitePast()) {
     const double seconds = std::max(0.0, absl::ToDoubleSeconds(now - refilled_at_));
-    tokens_ = std::min(kMostTokens, tokens_ + seconds * held * RatePerSlot());
+    tokens_ = std::min(kMaximumTokens, tokens_ + seconds * held * RatePerSlot());
   }
   refilled_at_ = std::max(refilled_at_, now);
   slots_at_refill_ = held;
@@ -120,18 +121,18 @@
     permit = expired ? granted_.erase(permit) : std::next(permit);
   }
   for (auto request = waiting_.begin(); request != waiting_.end();) {
-    const bool expired = now - request->second.heard_at >= options_.request_timeout;
+    const bool expired = now - request->second.received_at >= options_.request_timeout;
     request = expired ? waiting_.erase(request) : std::next(request);
   }
 }
 
 void PermitHolder::GrantWaiting(absl::Time now, Outbox* outbox) {
-  const std::uint32_t most = slots(now);
-  if (waiting_.empty() || tokens_ < 1.0 || granted_.size() >= most) {
+  const std::uint32_t slot_count = slots(now);
+  if (waiting_.empty() || tokens_ < 1.0 || granted_.size() >= slot_count) {
     return;
   }
   for (const LoadId& load : WaitingInOrder()) {
-    if (tokens_ < 1.0 || granted_.size() >= most) {
+    if (tokens_ < 1.0 || granted_.size() >= slot_count) {
       return;
     }
     tokens_ -= 1.0;
@@ -154,7 +155,8 @@
   return demand;
 }
 
-// Slots whose part of the rate lets one load begin each second for each load that waits.
+// Returns the number of further slots whose share of the rate lets one load per second start for
+// each waiting load.
 std::uint32_t PermitHolder::ExtraSlots() const {
   const auto waiting = static_cast<double>(waiting_.size());
   const double for_rate = std::ceil(waiting / RatePerSlot());
@@ -166,7 +168,8 @@
   return options_.rate_per_second / std::max(1U, options_.concurrency);
 }
 
-// Earliest deadline first; at one deadline the load that more requests wait for.
+// Orders by earliest deadline; loads with equal deadlines are ordered by the number of waiting
+// requests, slot_count first.
 std::vector<PermitHolder::LoadId> PermitHolder::WaitingInOrder() const {
   std::vector<LoadId> loads;
   for (const auto& [load, waiting] : waiting_) {
@@ -194,7 +197,7 @@
   outbox->Send(keeper, reply);
 }
 
-// By the rate alone; how long running loads take is not known here.
+// Considers the rate only, as the remaining time of running loads is unknown here.
 absl::Duration PermitHolder::ExpectedWait(const LoadId& load, absl::Time now) const {
   const std::vector<LoadId> order = WaitingInOrder();
   const auto position = std::find(order.begin(), order.end(), load) - order.begin();
--- a/src/placement/permit_lending.cc
+++ b/src/placement/permit_lending.cc
@@ -5,7 +5,7 @@
 namespace hingespan {
 namespace {
 
-// Earliest deadline first; at one deadline where more requests wait.
+// Orders by earliest deadline; on equal deadlines, the zone with more waiting requests comes first.
 bool MoreUrgent(const PermitDemand& first, const PermitDemand& second) {
   if (first.deadline != second.deadline) {
     return first.deadline < second.deadline;
@@ -13,11 +13,11 @@
   return first.requests > second.requests;
 }
 
-std::uint32_t Less(std::uint32_t from, std::uint32_t taken) {
+std::uint32_t SaturatingSubtract(std::uint32_t from, std::uint32_t taken) {
   return from > taken ? from - taken : 0;
 }
 
-void Give(std::uint32_t wanted, std::uint32_t* spare, std::uint32_t* slots) {
+void MoveSlots(std::uint32_t wanted, std::uint32_t* spare, std::uint32_t* slots) {
   const std::uint32_t given = std::min(wanted, *spare);
   *spare -= given;
   *slots += given;
@@ -45,12 +45,12 @@
       options_(options),
       home_slots_(HomeSlots(options.concurrency, zones_, zone_)) {}
 
-std::uint32_t PermitLending::Slots(bool has_home, absl::Time now) const {
-  return Home(has_home, now) + borrowed(now);
+std::uint32_t PermitLending::Slots(bool has_home_slots, absl::Time now) const {
+  return AvailableHomeSlots(has_home_slots, now) + borrowed(now);
 }
 
-std::uint32_t PermitLending::Home(bool has_home, absl::Time now) const {
-  return has_home ? Less(home_slots_, lent(now)) : 0;
+std::uint32_t PermitLending::AvailableHomeSlots(bool has_home_slots, absl::Time now) const {
+  return has_home_slots ? SaturatingSubtract(home_slots_, lent(now)) : 0;
 }
 
 std::uint32_t PermitLending::lent(absl::Time now) const {
@@ -70,7 +70,7 @@
 }
 
 bool PermitLending::IsLent(const Loan& loan, absl::Time now) const {
-  return now - loan.heard_at < SettleTime(options_);
+  return now - loan.received_at < SettleTime(options_);
 }
 
 bool PermitLending::IsUsable(const Borrowed& borrowed, absl::Time now) const {
@@ -83,8 +83,8 @@
   }
 }
 
-// A request of an older sequence is late. What the borrower does not keep is returned: it ignores
-// answers to earlier sequences.
+// Ignores a late request with an old sequence. Slots that the borrower does not keep are returned
+// at once, since it ignores answers to earlier sequences.
 void PermitLending::Handle(const Envelope&, const PermitLoanRequest& request, absl::Time now) {
   ForgetLoans(now);
   Loan& loan = loans_[{request.holder, request.incarnation}];
@@ -93,7 +93,7 @@
   }
   loan.sequence = request.sequence;
   loan.slots = std::min(loan.slots, request.held);
-  loan.heard_at = now;
+  loan.received_at = now;
   loan.answered = false;
   loan.demand.loads = request.waiting_loads;
   loan.demand.extra_slots = request.extra_slots;
@@ -101,20 +101,21 @@
   loan.demand.deadline = now + absl::Milliseconds(request.earliest_deadline_ms);
 }
 
-void PermitLending::Lend(bool has_home, std::uint32_t used, const PermitDemand& own, absl::Time now,
-                         Outbox* outbox) {
+void PermitLending::Lend(bool has_home_slots, std::uint32_t used, const PermitDemand& own,
+                         absl::Time now, Outbox* outbox) {
   ForgetLoans(now);
-  if (!has_home) {
+  if (!has_home_slots) {
     return;
   }
-  std::uint32_t spare = std::min(Home(has_home, now), Less(Slots(has_home, now), used));
-  std::vector<Loan*> raised;
+  std::uint32_t spare = std::min(AvailableHomeSlots(has_home_slots, now),
+                                 SaturatingSubtract(Slots(has_home_slots, now), used));
+  std::vector<Loan*> increased;
   if (options_.lend) {
-    GiveLoads(&spare, own, now, &raised);
-    GiveExtras(&spare, own, now, &raised);
+    LendForLoads(&spare, own, now, &increased);
+    LendExtraSlots(&spare, own, now, &increased);
   }
   for (auto& [borrower, loan] : loans_) {
-    const bool changed = std::find(raised.begin(), raised.end(), &loan) != raised.end();
+    const bool changed = std::find(increased.begin(), increased.end(), &loan) != increased.end();
     if (!loan.answered || changed) {
       loan.answered = true;
       outbox->Send(borrower.first,
@@ -123,10 +124,10 @@
   }
 }
 
-std::vector<PermitLending::Loan*> PermitLending::ByUrgency(absl::Time now) {
+std::vector<PermitLending::Loan*> PermitLending::LoansByUrgency(absl::Time now) {
   std::vector<Loan*> loans;
   for (auto& [borrower, loan] : loans_) {
-    const bool fresh = now - loan.heard_at < options_.request_timeout;
+    const bool fresh = now - loan.received_at < options_.request_timeout;
     if (fresh && loan.demand.loads + loan.demand.extra_slots > 0) {
       loans.push_back(&loan);
     }
@@ -137,38 +138,38 @@
   return loans;
 }
 
-// A slot for each load that waits, here or in another zone, the most urgent zone first.
-void PermitLending::GiveLoads(std::uint32_t* spare, const PermitDemand& own, absl::Time now,
-                              std::vector<Loan*>* raised) {
+// Assigns one slot to each waiting load here or in another zone, most urgent zone first.
+void PermitLending::LendForLoads(std::uint32_t* spare, const PermitDemand& own, absl::Time now,
+                                 std::vector<Loan*>* increased) {
   std::uint32_t own_loads = own.loads;
-  for (Loan* loan : ByUrgency(now)) {
+  for (Loan* loan : LoansByUrgency(now)) {
     if (!MoreUrgent(loan->demand, own)) {
-      *spare = Less(*spare, own_loads);
+      *spare = SaturatingSubtract(*spare, own_loads);
       own_loads = 0;
     }
     const std::uint32_t before = loan->slots;
-    Give(loan->demand.loads, spare, &loan->slots);
+    MoveSlots(loan->demand.loads, spare, &loan->slots);
     loan->demand.loads -= loan->slots - before;
     if (loan->slots != before) {
-      raised->push_back(loan);
+      increased->push_back(loan);
     }
   }
-  *spare = Less(*spare, own_loads);
+  *spare = SaturatingSubtract(*spare, own_loads);
 }
 
-// Then the slots that nobody needs, for their part of the rate; a zone with loads of its own that
-// wait keeps them.
-void PermitLending::GiveExtras(std::uint32_t* spare, const PermitDemand& own, absl::Time now,
-                               std::vector<Loan*>* raised) {
+// Lends the remaining slots for their share of the rate. A zone with waiting loads of its own keeps
+// them.
+void PermitLending::LendExtraSlots(std::uint32_t* spare, const PermitDemand& own, absl::Time now,
+                                   std::vector<Loan*>* increased) {
   if (own.loads > 0) {
     return;
   }
-  for (Loan* loan : ByUrgency(now)) {
+  for (Loan* loan : LoansByUrgency(now)) {
     const std::uint32_t before = loan->slots;
-    Give(loan->demand.extra_slots, spare, &loan->slots);
+    MoveSlots(loan->demand.extra_slots, spare, &loan->slots);
     loan->demand.extra_slots -= loan->slots - before;
     if (loan->slots != before) {
-      raised->push_back(loan);
+      increased->push_back(loan);
     }
   }
 }
@@ -186,7 +187,7 @@
   borrowed.usable_until = borrowed.sent_at + UsableLease(options_);
 }
 
-void PermitLending::Borrow(bool has_home, std::uint32_t used, const PermitDemand& own,
+void PermitLending::Borrow(bool has_home_slots, std::uint32_t used, const PermitDemand& own,
                            const ZoneNodes& nodes, absl::Time now, Outbox* outbox) {
   const bool starts_waiting = own.loads > 0 && !was_waiting_;
   was_waiting_ = own.loads > 0;
@@ -194,16 +195,17 @@
     return;
   }
   next_renewal_ = now + options_.renew_interval;
-  const std::uint32_t home = Home(has_home, now);
-  // Slots of other zones that are needed still.
-  std::uint32_t needed = Less(used + own.loads, home);
-  std::uint32_t extra = Less(used + own.loads + own.extra_slots, home) - needed;
+  const std::uint32_t home = AvailableHomeSlots(has_home_slots, now);
+  // Slots still needed from other zones.
+  std::uint32_t needed = SaturatingSubtract(used + own.loads, home);
+  std::uint32_t extra = SaturatingSubtract(used + own.loads + own.extra_slots, home) - needed;
   for (const auto& [zone, zone_nodes] : nodes) {
     Borrowed& borrowed = borrowed_[zone];
     const bool usable = IsUsable(borrowed, now);
-    // Loads may still run on slots whose loan lapsed: those are not returned, nor counted on.
-    const std::uint32_t most_kept = usable ? needed + extra : Less(used, home);
-    const std::uint32_t keep = std::min(borrowed.slots, most_kept);
+    // Loads may still run on slots whose loan lapsed. Those slots are neither returned nor counted
+    // as available.
+    const std::uint32_t keep_limit = usable ? needed + extra : SaturatingSubtract(used, home);
+    const std::uint32_t keep = std::min(borrowed.slots, keep_limit);
     if (usable) {
       const std::uint32_t kept_for_loads = std::min(keep, needed);
       needed -= kept_for_loads;
--- a/src/placement/placer.cc
+++ b/src/placement/placer.cc
@@ -10,18 +10,18 @@
 namespace hingespan {
 namespace {
 
-// Expected wait before a keeper has answered.
-constexpr absl::Duration kUnknownWait = absl::Seconds(1);
-constexpr absl::Duration kShortestWait = absl::Milliseconds(50);
-// When to ask again after a refusal.
+// Expected wait until a keeper has answered.
+constexpr absl::Duration kDefaultExpectedWait = absl::Seconds(1);
+constexpr absl::Duration kMinimumExpectedWait = absl::Milliseconds(50);
+// Times after which a refused router may ask again.
 constexpr absl::Duration kNoMemoryRetry = absl::Seconds(1);
 constexpr absl::Duration kNoWorkerRetry = absl::Seconds(2);
 constexpr absl::Duration kNoGrantRetry = absl::Seconds(5);
-// A model is forgotten this long after its last wake request.
-constexpr absl::Duration kForgetAfter = absl::Seconds(10);
+// State of a model is dropped this long after its last wake request.
+constexpr absl::Duration kColdModelRetention = absl::Seconds(10);
 constexpr absl::Duration kMinimumCheckInterval = absl::Seconds(1);
-// While a replica is ready, a router that still waits repeats its wake request well within this
-// time, and an idle replica is not unloaded sooner (keeper.minimum_residence).
+// Waiter timeout while a replica is ready. A router that still waits repeats its wake request well
+// within this time, and an idle replica is not unloaded sooner (keeper.minimum_residence).
 constexpr absl::Duration kServedWaiterTimeout = absl::Milliseconds(600);
 
 std::uint32_t ToMilliseconds(absl::Duration duration) {
@@ -29,8 +29,8 @@
       std::clamp<std::int64_t>(absl::ToInt64Milliseconds(duration), 0, UINT32_MAX));
 }
 
-WakeReply Refused(const ModelName& model, WakeRefusal reason, absl::Duration ask_again) {
-  return WakeReply{model, WakeOutcome::kRefused, reason, ToMilliseconds(ask_again)};
+WakeReply Refused(const ModelName& model, WakeRefusal reason, absl::Duration retry_after) {
+  return WakeReply{model, WakeOutcome::kRefused, reason, ToMilliseconds(retry_after)};
 }
 
 }  // namespace
@@ -55,7 +55,7 @@
     outbox->Send(from, Refused(request.model, WakeRefusal::kUnknownModel, kNoGrantRetry));
     return;
   }
-  Cold& cold = cold_.try_emplace(request.model, now).first->second;
+  ColdModel& cold = cold_models_.try_emplace(request.model, now).first->second;
   cold.last_wake = now;
   if (request.waiting == 0) {
     cold.waiters.erase(from);
@@ -67,9 +67,9 @@
   cold.waiters[from] = Waiter{request.waiting, deadline, latest, service, now};
   DropEndedAttempts(request.model, &cold, now);
   StartLoads(*row, &cold, keeper_of, now, outbox);
-  const WakeReply reply = Outlook(*row, cold, now);
+  const WakeReply reply = CurrentReply(*row, cold, now);
   if (reply.outcome == WakeOutcome::kRefused) {
-    RefuseIfHopeless(*row, &cold, now, outbox);
+    RefuseIfUnservable(*row, &cold, now, outbox);
   } else {
     outbox->Send(from, reply);
   }
@@ -77,39 +77,40 @@
 
 void Placer::HandleLoadReply(const NodeId&, const LoadReply& reply, absl::Time now,
                              Outbox* outbox) {
-  const auto found = cold_.find(reply.model);
+  const auto found = cold_models_.find(reply.model);
   const auto row = store_->FindRow(reply.model);
-  if (found == cold_.end() || row == nullptr) {
+  if (found == cold_models_.end() || row == nullptr) {
     return;
   }
-  Cold& cold = found->second;
+  ColdModel& cold = found->second;
   for (Attempt& attempt : cold.attempts) {
     const bool matches = attempt.worker == reply.worker &&
                          attempt.incarnation == reply.incarnation &&
                          attempt.generation == reply.generation;
     const bool first_answer = attempt.stage == AttemptStage::kUnanswered;
     if (matches && first_answer && reply.outcome == LoadOutcome::kAccepted) {
-      cold.load_seen = absl::Milliseconds(reply.expected_wait_ms);
+      cold.reported_load_time = absl::Milliseconds(reply.expected_wait_ms);
     }
     if (matches) {
-      NoteReply(reply, now, &attempt);
+      ApplyReply(reply, now, &attempt);
     }
   }
-  // The next slot, if there is one, is asked at the next Tick.
-  RefuseIfHopeless(*row, &cold, now, outbox);
+  // The next Tick asks the next slot, if there is one.
+  RefuseIfUnservable(*row, &cold, now, outbox);
 }
 
-void Placer::NoteReply(const LoadReply& reply, absl::Time now, Attempt* attempt) const {
+void Placer::ApplyReply(const LoadReply& reply, absl::Time now, Attempt* attempt) const {
   switch (reply.outcome) {
     case LoadOutcome::kNotKeeper:
-      // The worker's keeper is changing: asked again after load_retry, until load_give_up.
+      // The worker's keeper is changing. The request is repeated after load_retry, until
+      // load_give_up.
       return;
     case LoadOutcome::kAccepted:
     case LoadOutcome::kReady:
       attempt->stage = AttemptStage::kAccepted;
       attempt->expected_ready = now + absl::Milliseconds(reply.expected_wait_ms);
       attempt->next_send = now + options_.load_confirm;
-      attempt->heard_at = now;
+      attempt->received_at = now;
       return;
     case LoadOutcome::kNoMemory:
     case LoadOutcome::kOtherIncarnation:
@@ -125,19 +126,19 @@
 void Placer::Tick(const std::function<bool(const ModelName&)>& is_mine,
                   const std::function<NodeId(const WorkerId&)>& keeper_of, absl::Time now,
                   Outbox* outbox) {
-  for (auto entry = cold_.begin(); entry != cold_.end();) {
+  for (auto entry = cold_models_.begin(); entry != cold_models_.end();) {
     const ModelName model = entry->first;
-    Cold& cold = entry->second;
+    ColdModel& cold = entry->second;
     const auto row = store_->FindRow(model);
-    DropSilentWaiters(model, &cold, now);
-    const bool forgotten = cold.waiters.empty() && now - cold.last_wake >= kForgetAfter;
+    DropExpiredWaiters(model, &cold, now);
+    const bool forgotten = cold.waiters.empty() && now - cold.last_wake >= kColdModelRetention;
     if (forgotten || !is_mine(model)) {
-      cold_.erase(entry++);
+      cold_models_.erase(entry++);
       continue;
     }
     ++entry;
     if (row == nullptr) {
-      TellWaiters(Refused(model, WakeRefusal::kUnknownModel, kNoGrantRetry), &cold, outbox);
+      NotifyWaiters(Refused(model, WakeRefusal::kUnknownModel, kNoGrantRetry), &cold, outbox);
       continue;
     }
     DropEndedAttempts(model, &cold, now);
@@ -146,18 +147,18 @@
     }
     StartLoads(*row, &cold, keeper_of, now, outbox);
     RepeatLoads(model, &cold, keeper_of, now, outbox);
-    RefuseIfHopeless(*row, &cold, now, outbox);
+    RefuseIfUnservable(*row, &cold, now, outbox);
   }
   KeepMinimum(is_mine, keeper_of, now, outbox);
 }
 
-bool Placer::AnyRefusedForMemory(const Cold& cold) {
+bool Placer::AnyRefusedForMemory(const ColdModel& cold) {
   return std::any_of(cold.attempts.begin(), cold.attempts.end(), [](const Attempt& attempt) {
     return attempt.stage == AttemptStage::kRefused && attempt.outcome == LoadOutcome::kNoMemory;
   });
 }
 
-void Placer::SendLoad(const ModelName& model, const Cold& cold, Attempt* attempt,
+void Placer::SendLoad(const ModelName& model, const ColdModel& cold, Attempt* attempt,
                       const std::function<NodeId(const WorkerId&)>& keeper_of, absl::Time now,
                       Outbox* outbox) const {
   attempt->next_send = now + options_.load_retry;
@@ -178,7 +179,7 @@
   }
 }
 
-void Placer::RepeatLoads(const ModelName& model, Cold* cold,
+void Placer::RepeatLoads(const ModelName& model, ColdModel* cold,
                          const std::function<NodeId(const WorkerId&)>& keeper_of, absl::Time now,
                          Outbox* outbox) const {
   for (Attempt& attempt : cold->attempts) {
@@ -188,7 +189,7 @@
   }
 }
 
-void Placer::DropEndedAttempts(const ModelName& model, Cold* cold, absl::Time now) const {
+void Placer::DropEndedAttempts(const ModelName& model, ColdModel* cold, absl::Time now) const {
   const auto record = store_->FindGrant(model);
   const auto is_ended = [&](const Attempt& attempt) {
     const bool slot_usable =
@@ -209,7 +210,7 @@
   attempts.erase(std::remove_if(attempts.begin(), attempts.end(), is_ended), attempts.end());
   for (Attempt& attempt : attempts) {
     const bool silent = attempt.stage != AttemptStage::kRefused && !cold->waiters.empty() &&
-                        now - attempt.heard_at >= options_.load_give_up;
+                        now - attempt.received_at >= options_.load_give_up;
     if (silent) {
       attempt.stage = AttemptStage::kRefused;
       attempt.outcome = LoadOutcome::kNotKeeper;
@@ -218,17 +219,17 @@
   }
 }
 
-// Nobody says that the wait is over. A waiter kept past the unloading of the replica that served it
-// would have the model loaded again for nobody.
-void Placer::DropSilentWaiters(const ModelName& model, Cold* cold, absl::Time now) const {
+// Routers send no notification when their wait ends. A waiter kept after the replica that served it
+// was unloaded would cause a load that no request needs.
+void Placer::DropExpiredWaiters(const ModelName& model, ColdModel* cold, absl::Time now) const {
   const bool served = !directory_->ReadyWorkers(model, now).empty();
   const absl::Duration timeout =
       served ? std::min(options_.waiter_timeout, kServedWaiterTimeout) : options_.waiter_timeout;
   absl::erase_if(cold->waiters,
-                 [&](const auto& entry) { return now - entry.second.heard_at >= timeout; });
+                 [&](const auto& entry) { return now - entry.second.received_at >= timeout; });
 }
 
-WakeReply Placer::Outlook(const ModelRow& row, const Cold& cold, absl::Time now) const {
+WakeReply Placer::CurrentReply(const ModelRow& row, const ColdModel& cold, absl::Time now) const {
   WakeReply reply;
   reply.model = row.name;
   if (!directory_->ReadyWorkers(row.name, now).empty()) {
@@ -237,28 +238,30 @@
   }
   const std::vector<WorkerId> loading = directory_->LoadingWorkers(row.name, now);
   absl::Time expected_ready = absl::InfiniteFuture();
-  bool coming = !loading.empty();
+  bool load_expected = !loading.empty();
   for (const WorkerId& worker : loading) {
     const KnownReplica& replica = directory_->Find(worker)->replicas.at(row.name);
     expected_ready = std::min(expected_ready, replica.expected_ready);
   }
   for (const Attempt& attempt : cold.attempts) {
     if (attempt.stage != AttemptStage::kRefused) {
-      coming = true;
+      load_expected = true;
       expected_ready = std::min(expected_ready, attempt.expected_ready);
     }
   }
-  if (!coming && Candidates(row, cold, now).empty()) {
-    return StuckOutlook(row, cold, now);
+  if (!load_expected && Candidates(row, cold, now).empty()) {
+    return ReplyWithoutWorker(row, cold, now);
   }
   const bool known = expected_ready != absl::InfiniteFuture();
-  const absl::Duration wait = known ? expected_ready - now : kUnknownWait;
-  reply.expected_wait_ms = ToMilliseconds(std::max(wait, kShortestWait));
+  const absl::Duration wait = known ? expected_ready - now : kDefaultExpectedWait;
+  reply.expected_wait_ms = ToMilliseconds(std::max(wait, kMinimumExpectedWait));
   return reply;
 }
 
-// What is said when there is no worker to ask: a grant or a worker may come soon.
-WakeReply Placer::StuckOutlook(const ModelRow& row, const Cold& cold, absl::Time now) const {
+// Returns the answer when no worker can be asked. A grant or a worker may still appear, so requests
+// wait for `grant_grace` before they are refused.
+WakeReply Placer::ReplyWithoutWorker(const ModelRow& row, const ColdModel& cold,
+                                     absl::Time now) const {
   if (AnyRefusedForMemory(cold)) {
     return Refused(row.name, WakeRefusal::kNoMemory, kNoMemoryRetry);
   }
@@ -269,25 +272,25 @@
         return slot.zone == zone_ && slot.state == SlotState::kGranted;
       });
   const bool never_granted = row.max_replicas == 0 || (!has_slot && WeightOf(row, zone_) == 0);
-  const bool may_come = !never_granted && now - cold.stuck_since < options_.grant_grace;
-  if (may_come) {
-    const absl::Duration grace_left = options_.grant_grace - (now - cold.stuck_since);
+  const bool may_appear = !never_granted && now - cold.no_worker_since < options_.grant_grace;
+  if (may_appear) {
+    const absl::Duration grace_left = options_.grant_grace - (now - cold.no_worker_since);
     return WakeReply{row.name, WakeOutcome::kLoading, WakeRefusal::kNone,
-                     ToMilliseconds(grace_left + kUnknownWait)};
+                     ToMilliseconds(grace_left + kDefaultExpectedWait)};
   }
   return has_slot ? Refused(row.name, WakeRefusal::kNoWorker, kNoWorkerRetry)
                   : Refused(row.name, WakeRefusal::kNoGrant, kNoGrantRetry);
 }
 
-void Placer::RefuseIfHopeless(const ModelRow& row, Cold* cold, absl::Time now,
-                              Outbox* outbox) const {
-  const WakeReply reply = Outlook(row, *cold, now);
+void Placer::RefuseIfUnservable(const ModelRow& row, ColdModel* cold, absl::Time now,
+                                Outbox* outbox) const {
+  const WakeReply reply = CurrentReply(row, *cold, now);
   if (reply.outcome == WakeOutcome::kRefused) {
-    TellWaiters(reply, cold, outbox);
+    NotifyWaiters(reply, cold, outbox);
   }
 }
 
-void Placer::TellWaiters(const WakeReply& reply, Cold* cold, Outbox* outbox) {
+void Placer::NotifyWaiters(const WakeReply& reply, ColdModel* cold, Outbox* outbox) {
   for (const auto& [node, waiter] : cold->waiters) {
     outbox->Send(node, reply);
   }
@@ -303,7 +306,7 @@
   }
 }
 
-// Keepers take repeats of a load as one, so nothing is remembered here.
+// No state is kept here, since keepers treat repeated requests for a load as one.
 void Placer::KeepMinimum(const std::function<bool(const ModelName&)>& is_mine,
                          const std::function<NodeId(const WorkerId&)>& keeper_of, absl::Time now,
                          Outbox* outbox) {
--- a/src/placement/placer_loads.cc
+++ b/src/placement/placer_loads.cc
@@ -1,4 +1,4 @@
-// Which granted slots a placer asks to load, and how many of them.
+// Selection of the granted slots that a placer asks to load, and of their number.
 #include <algorithm>
 #include <utility>
 
@@ -7,19 +7,20 @@
 namespace hingespan {
 namespace {
 
-// A replica that got ready this long ago has been found by every router that waits.
-constexpr absl::Duration kPlacesFillUp = absl::Seconds(1);
-// A load that takes longer than expected is taken to end after this.
-constexpr absl::Duration kSoon = absl::Milliseconds(50);
+// Every waiting router has found a replica that became ready this long ago.
+constexpr absl::Duration kReplicaFillTime = absl::Seconds(1);
+// Assumed remaining time of a load that takes longer than expected.
+constexpr absl::Duration kOverdueLoadTime = absl::Milliseconds(50);
 
 }  // namespace
 
-// Asks for a first replica, and for as many more as the waiting requests need to be served in time,
-// however many routers sent them. Spec action: RequestLoad.
-void Placer::StartLoads(const ModelRow& row, Cold* cold,
+// Requests a first replica, and as many more as the waiting requests need to be served in time,
+// regardless of how many routers sent them.
+// Spec action: RequestLoad.
+void Placer::StartLoads(const ModelRow& row, ColdModel* cold,
                         const std::function<NodeId(const WorkerId&)>& keeper_of, absl::Time now,
                         Outbox* outbox) {
-  NoteReadyReplicas(row.name, now, cold);
+  UpdateReadyReplicas(row.name, now, cold);
   ReplicaDemand demand = DemandFor(row, *cold, now);
   for (const Candidate& candidate : Candidates(row, *cold, now)) {
     const bool enough = !demand.replicas.empty() && !count_policy_.NeedsAnother(demand);
@@ -30,37 +31,38 @@
     attempt.worker = candidate.slot.worker;
     attempt.incarnation = candidate.slot.incarnation;
     attempt.generation = candidate.slot.generation;
-    attempt.heard_at = now;
+    attempt.received_at = now;
     SendLoad(row.name, *cold, &attempt, keeper_of, now, outbox);
     cold->attempts.push_back(std::move(attempt));
     demand.replicas.push_back({demand.load, false});
   }
   const bool refused_for_memory = AnyRefusedForMemory(*cold);
   if (!demand.replicas.empty() || refused_for_memory) {
-    cold->stuck_since = absl::InfiniteFuture();
-  } else if (cold->stuck_since == absl::InfiniteFuture()) {
-    cold->stuck_since = now;
+    cold->no_worker_since = absl::InfiniteFuture();
+  } else if (cold->no_worker_since == absl::InfiniteFuture()) {
+    cold->no_worker_since = now;
   }
 }
 
-// Since when replicas are ready: from then on their places fill up.
-void Placer::NoteReadyReplicas(const ModelName& model, absl::Time now, Cold* cold) const {
+// Records when replicas became ready, as their places fill up from then on.
+void Placer::UpdateReadyReplicas(const ModelName& model, absl::Time now, ColdModel* cold) const {
   const std::vector<WorkerId> ready = directory_->ReadyWorkers(model, now);
   absl::btree_map<WorkerId, absl::Time> since;
   for (const WorkerId& worker : ready) {
     const auto known = cold->ready_since.find(worker);
     const bool new_here = known == cold->ready_since.end();
-    // What is ready when the first request is heard of has been so before.
-    const absl::Time first_seen = cold->began == now ? absl::InfinitePast() : now;
+    // Replicas that are ready when the first request arrives were ready before it.
+    const absl::Time first_seen = cold->first_request_at == now ? absl::InfinitePast() : now;
     since[worker] = new_here ? first_seen : known->second;
   }
   cold->ready_since = std::move(since);
 }
 
-ReplicaDemand Placer::DemandFor(const ModelRow& row, const Cold& cold, absl::Time now) const {
+ReplicaDemand Placer::DemandFor(const ModelRow& row, const ColdModel& cold, absl::Time now) const {
   ReplicaDemand demand;
   demand.slots = row.max_concurrency;
-  demand.load = cold.load_seen.value_or(load_times_.Estimate(CacheTier::kRemote, row.memory_mib));
+  demand.load =
+      cold.reported_load_time.value_or(load_times_.Estimate(CacheTier::kRemote, row.memory_mib));
   int routers_with_service = 0;
   for (const auto& [node, waiter] : cold.waiters) {
     const absl::Duration earliest = std::max(absl::ZeroDuration(), waiter.deadline - now);
@@ -76,18 +78,19 @@
   return demand;
 }
 
-// Replicas that are ready, loading or asked for.
-absl::btree_map<WorkerId, ReplicaSupply> Placer::Supplies(const ModelName& model, const Cold& cold,
+// Returns the replicas that are ready, loading or requested.
+absl::btree_map<WorkerId, ReplicaSupply> Placer::Supplies(const ModelName& model,
+                                                          const ColdModel& cold,
                                                           absl::Duration load,
                                                           absl::Time now) const {
   absl::btree_map<WorkerId, ReplicaSupply> supplies;
   for (const auto& [worker, since] : cold.ready_since) {
-    supplies[worker] = {absl::ZeroDuration(), now - since >= kPlacesFillUp};
+    supplies[worker] = {absl::ZeroDuration(), now - since >= kReplicaFillTime};
   }
   const auto add = [&](const WorkerId& worker, absl::Time expected_ready) {
     const bool known = expected_ready != absl::InfiniteFuture();
     const absl::Duration ready_in = known ? expected_ready - now : load;
-    supplies.try_emplace(worker, ReplicaSupply{std::max(ready_in, kSoon), false});
+    supplies.try_emplace(worker, ReplicaSupply{std::max(ready_in, kOverdueLoadTime), false});
   };
   for (const WorkerId& worker : directory_->LoadingWorkers(model, now)) {
     add(worker, directory_->Find(worker)->replicas.at(model).expected_ready);
@@ -100,8 +103,8 @@
   return supplies;
 }
 
-// Slots that a load may be asked of now, the best first.
-std::vector<Placer::Candidate> Placer::Candidates(const ModelRow& row, const Cold& cold,
+// Returns the slots from which a load may be requested now, best first.
+std::vector<Placer::Candidate> Placer::Candidates(const ModelRow& row, const ColdModel& cold,
                                                   absl::Time now) const {
   std::vector<Candidate> candidates;
   const auto record = store_->FindGrant(row.name);
@@ -166,13 +169,13 @@
          replica->second.state == ReplicaState::kLoading;
 }
 
-bool Placer::HasAttempt(const Cold& cold, const GrantSlot& slot) {
+bool Placer::HasAttempt(const ColdModel& cold, const GrantSlot& slot) {
   return std::any_of(cold.attempts.begin(), cold.attempts.end(), [&](const Attempt& attempt) {
     return attempt.worker == slot.worker && attempt.generation == slot.generation;
   });
 }
 
-std::uint32_t Placer::TotalWaiting(const Cold& cold) {
+std::uint32_t Placer::TotalWaiting(const ColdModel& cold) {
   std::uint32_t sum = 0;
   for (const auto& [node, waiter] : cold.waiters) {
     sum += waiter.waiting;
--- a/src/placement/replica_count_policy.cc
+++ b/src/placement/replica_count_policy.cc
@@ -5,12 +5,12 @@
 namespace hingespan {
 namespace {
 
-// Expected late requests are fractions: from here on one counts.
-constexpr double kOneLate = 0.5;
-constexpr absl::Duration kShortestService = absl::Milliseconds(1);
+// The expected number of late requests is fractional; from this value on it counts as one.
+constexpr double kLateThreshold = 0.5;
+constexpr absl::Duration kMinimumService = absl::Milliseconds(1);
 
-// A replica that gets ready at `time` is not counted there: what is due at this instant was due
-// before it.
+// A replica that becomes ready exactly at `time` contributes nothing, since requests due at that
+// instant were due before it.
 double PlacesOf(const ReplicaSupply& replica, double slots, absl::Duration service,
                 absl::Duration time) {
   if (!replica.full && time <= replica.ready_in) {
@@ -32,17 +32,17 @@
     times.push_back(replica.ready_in);
   }
   std::sort(times.begin(), times.end());
-  // Requests that are late whatever is done take no place from the others.
-  double lost = 0;
+  // Requests that are late in any case take no place from the others.
+  double unavoidably_late = 0;
   for (const absl::Duration time : times) {
-    const double late = DueBy(demand, time) - PlacesBy(demand, time) - lost;
-    if (late < kOneLate) {
+    const double late = DueBy(demand, time) - PlacesBy(demand, time) - unavoidably_late;
+    if (late < kLateThreshold) {
       continue;
     }
     if (demand.load <= time / options_.wait_share) {
       return true;
     }
-    lost += late;
+    unavoidably_late += late;
   }
   return false;
 }
@@ -67,7 +67,7 @@
 double ReplicaCountPolicy::PlacesBy(const ReplicaDemand& demand, absl::Duration time) const {
   const bool service_seen = demand.service > absl::ZeroDuration();
   const absl::Duration service =
-      std::max(service_seen ? demand.service : options_.first_service, kShortestService);
+      std::max(service_seen ? demand.service : options_.first_service, kMinimumService);
   const double slots = std::max<std::uint32_t>(1, demand.slots);
   double places = 0;
   for (const ReplicaSupply& replica : demand.replicas) {
--- a/src/placement/worker_keeper.cc
+++ b/src/placement/worker_keeper.cc
@@ -1,4 +1,4 @@
-// Lifecycle of a keeper: fencing, calls to the engine and their answers.
+// Lifecycle of a keeper: fencing, engine calls and their answers.
 #include "hingespan/placement/worker_keeper.h"
 
 #include <algorithm>
@@ -8,14 +8,14 @@
 namespace hingespan {
 namespace {
 
-// The wait before fencing again doubles at most this many times.
+// Maximum number of times that the fencing backoff doubles.
 constexpr int kMaximumFenceDoublings = 7;
-// A keeper that held its worker for this long starts again with the shortest wait.
-constexpr absl::Duration kUndisputedAfter = absl::Seconds(60);
-// A load is looked at again after this share of the time that it has taken so far.
-constexpr double kLookShare = 0.1;
-constexpr absl::Duration kShortestLook = absl::Milliseconds(10);
-// Calls in a row that must fail before the engine counts as unreachable.
+// The fencing backoff is reset after holding the worker for this long.
+constexpr absl::Duration kFenceBackoffResetAfter = absl::Seconds(60);
+// Interval between status calls during a load, as a fraction of the time that it has taken so far.
+constexpr double kStatusIntervalFraction = 0.1;
+constexpr absl::Duration kMinimumStatusInterval = absl::Milliseconds(10);
+// Number of consecutive failed calls after which the engine counts as unreachable.
 constexpr int kFailuresUntilUnreachable = 2;
 
 }  // namespace
@@ -58,11 +58,11 @@
 void WorkerKeeper::HandleAnswer(const EngineAnswer& answer, const std::vector<NodeId>& peers,
                                 absl::Time now, Outbox* outbox) {
   SetPeers(peers);
-  AbsorbAnswer(answer, now, outbox);
+  ProcessAnswer(answer, now, outbox);
   SendAnnouncements(now, outbox);
 }
 
-void WorkerKeeper::AbsorbAnswer(const EngineAnswer& answer, absl::Time now, Outbox* outbox) {
+void WorkerKeeper::ProcessAnswer(const EngineAnswer& answer, absl::Time now, Outbox* outbox) {
   const auto found = calls_.find(answer.call);
   if (found == calls_.end()) {
     return;
@@ -72,7 +72,7 @@
   if (answer.call == control_call_) {
     control_call_ = 0;
   }
-  NoteReachable(answer.result.ok() || answer.result.error() == Error::kFenced);
+  UpdateReachability(answer.result.ok() || answer.result.error() == Error::kFenced);
   if (call.is_fence) {
     HandleFenceAnswer(answer, now, outbox);
   } else if (call.order == OrderKind::kNone) {
@@ -93,8 +93,8 @@
   }
 }
 
-// Spec action: Fence. Only a fence that was answered counts: an equal epoch seen in a status may be
-// another node's.
+// Spec action: Fence. Only an answered fence call counts: an equal epoch seen in a status may
+// belong to another node.
 void WorkerKeeper::HandleFenceAnswer(const EngineAnswer& answer, absl::Time now, Outbox* outbox) {
   if (state_ != KeeperState::kFencing) {
     return;
@@ -121,8 +121,8 @@
     control_call_ = Call(std::move(call), std::move(pending), now, outbox);
     return;
   }
-  if (HoldsUnder(status, now)) {
-    Absorb(status, answer.call, now, outbox);
+  if (CheckFence(status, now)) {
+    ApplyStatus(status, answer.call, now, outbox);
     next_status_ = NextStatus(now);
   }
 }
@@ -141,41 +141,42 @@
     const std::error_code error = answer.result.error();
     const bool load_refused = error == Error::kFenced && call.order == OrderKind::kLoad;
     if (load_refused) {
-      // For ever, in this epoch; a status tells whether the epoch still is ours.
+      // The refusal is final within this epoch. The next status shows whether the epoch is still
+      // this keeper's.
       replica.stage = OrderStage::kSettled;
-      replica.evidence_from = next_call_;
+      replica.conclusive_from_call = next_call_;
       replica.load_refused = true;
       return;
     }
     replica.stage = OrderStage::kLost;
-    replica.next_try = now + options_.order_retry;
+    replica.retry_at = now + options_.order_retry;
     if (error == Error::kOutOfMemory) {
       refused_until_[call.model] = now + options_.status_interval;
-      // The engine may apply a copy of the order later: only an unload makes it void.
+      // The engine may apply a copy of the order later; only an unload makes it void.
       OrderUnload(call.model, replica.order_generation, now, outbox);
     }
     return;
   }
-  if (!HoldsUnder(*answer.result, now)) {
+  if (!CheckFence(*answer.result, now)) {
     return;
   }
   next_status_ = std::min(next_status_, NextStatus(now));
   if (is_newest) {
     found->second.stage = OrderStage::kSettled;
-    // The status in this very answer was taken after the order; those of calls that were sent
-    // before the answer came may be older than the order.
-    found->second.evidence_from = answer.call;
+    // The status in this answer was taken after the order. The status of a call that was sent
+    // before this answer arrived may be older than the order.
+    found->second.conclusive_from_call = answer.call;
   }
-  Absorb(*answer.result, answer.call, now, outbox);
+  ApplyStatus(*answer.result, answer.call, now, outbox);
   const auto settled = replicas_.find(call.model);
   if (is_newest && settled != replicas_.end() && settled->second.order_sequence == call.sequence) {
-    settled->second.evidence_from = next_call_;
+    settled->second.conclusive_from_call = next_call_;
   }
 }
 
-// Whether a status was taken under this keeper's incarnation and epoch. Leaves kHolding when it
-// shows that the engine was restarted or fenced by another node.
-bool WorkerKeeper::HoldsUnder(const EngineStatus& status, absl::Time now) {
+// Returns whether a status was taken under this keeper's incarnation and epoch. Leaves kHolding if
+// the status shows that the engine was restarted or fenced by another node.
+bool WorkerKeeper::CheckFence(const EngineStatus& status, absl::Time now) {
   if (state_ != KeeperState::kHolding) {
     return false;
   }
@@ -200,7 +201,7 @@
 }
 
 void WorkerKeeper::BecomeFenced(absl::Time now) {
-  if (now - holding_since_ >= kUndisputedAfter) {
+  if (now - holding_since_ >= kFenceBackoffResetAfter) {
     times_fenced_ = 0;
   }
   state_ = KeeperState::kFenced;
@@ -224,29 +225,29 @@
   incarnation_ = inventory.incarnation;
   epoch_ = inventory.epoch;
   sequence_ = OrderSequence();
-  // Peers find that they hold another version and ask for the list.
+  // Peers detect that they hold another version and request the list.
   version_ = ReplicaListVersion(1);
   pending_updates_.clear();
   local_updates_.clear();
   reachable_ = true;
   calls_.clear();
   control_call_ = 0;
-  newest_absorbed_ = next_call_;
-  unknown_from_ = next_call_;
+  newest_applied_call_ = next_call_;
+  unknown_from_call_ = next_call_;
   next_status_ = now;
 
   ledger_.Reset(inventory);
   absl::btree_map<ModelName, Replica> former = std::move(replicas_);
   replicas_.clear();
-  for (const EngineReplica& shown : inventory.replicas) {
-    AdoptReplica(shown, now);
-    const auto held = former.find(shown.model);
+  for (const EngineReplica& reported : inventory.replicas) {
+    AdoptReplica(reported, now);
+    const auto held = former.find(reported.model);
     if (!restarted && held != former.end()) {
-      replicas_[shown.model].load_started = held->second.load_started;
-      replicas_[shown.model].expected_ready = held->second.expected_ready;
+      replicas_[reported.model].load_started = held->second.load_started;
+      replicas_[reported.model].expected_ready = held->second.expected_ready;
     }
   }
-  Absorb(inventory, next_call_, now, outbox);
+  ApplyStatus(inventory, next_call_, now, outbox);
   const absl::btree_map<ModelName, RevokeRequest> revocations = revocations_;
   for (const auto& [model, revocation] : revocations) {
     OrderUnload(model, revocation.generation, now, outbox);
@@ -280,11 +281,11 @@
     }
   }
   for (const std::uint64_t number : expired) {
-    AbsorbAnswer({number, machine_.worker, Error::kTimeout}, now, outbox);
+    ProcessAnswer({number, machine_.worker, Error::kTimeout}, now, outbox);
   }
 }
 
-void WorkerKeeper::NoteReachable(bool answered) {
+void WorkerKeeper::UpdateReachability(bool answered) {
   failed_calls_ = answered ? 0 : failed_calls_ + 1;
   const bool holding = state_ == KeeperState::kHolding;
   if (answered && holding) {
@@ -305,20 +306,22 @@
   return {incarnation_, epoch_, sequence_, generation};
 }
 
-// When to look again: soon while something is under way; the shorter a load has taken, the sooner,
-// so that its end is seen within a small share of it.
+// Returns the time of the next status call. The interval is short while an operation is in progress
+// and is proportional to the elapsed time of a load, so that the end of a load is noticed within a
+// small fraction of it.
 absl::Time WorkerKeeper::NextStatus(absl::Time now) const {
   absl::Duration interval = IsBusy() ? options_.busy_status_interval : options_.status_interval;
   for (const auto& [model, replica] : replicas_) {
     if (replica.state == ReplicaState::kLoading) {
       const absl::Duration elapsed = now - replica.load_started;
-      interval = std::min(interval, std::max(kShortestLook, elapsed * kLookShare));
+      interval =
+          std::min(interval, std::max(kMinimumStatusInterval, elapsed * kStatusIntervalFraction));
     }
   }
   return now + interval;
 }
 
-// Whether something is under way that a status will show.
+// Returns whether an operation is in progress whose result a status will show.
 bool WorkerKeeper::IsBusy() const {
   if (!waiting_loads_.empty() || !revocations_.empty()) {
     return true;
--- a/src/placement/worker_keeper_evictions.cc
+++ b/src/placement/worker_keeper_evictions.cc
@@ -1,5 +1,5 @@
-// What a keeper unloads, and when: idle replicas by the keep-warm policy, and evictions that make
-// room for a load.
+// Selects the replicas that a keeper unloads: idle ones by the keep-warm policy, and evictions that
+// make room for a load.
 #include <algorithm>
 #include <utility>
 
@@ -17,7 +17,7 @@
   }
 }
 
-// Unloads idle replicas inside their grants, so that at least `needed_mib` more becomes free.
+// Unloads idle replicas within their grants so that at least `needed_mib` more becomes free.
 void WorkerKeeper::Evict(std::uint32_t needed_mib, absl::Time now, Outbox* outbox) {
   const std::vector<EvictionGroup> groups = EvictionGroups(now);
   std::vector<IdleReplica> idle;
@@ -32,8 +32,9 @@
   }
 }
 
-// What can be unloaded to make room: replicas alone, and a base with all adapters on it. Without
-// the latter a few MiB of idle adapters would hold the memory of their base.
+// Returns the groups that can be unloaded to make room: single replicas, and a base together with
+// all adapters on it. Without such groups, a few MiB of idle adapters would pin the memory of their
+// base.
 std::vector<WorkerKeeper::EvictionGroup> WorkerKeeper::EvictionGroups(absl::Time now) const {
   absl::flat_hash_set<ModelName> wanted_bases;
   for (const auto& [model, load] : waiting_loads_) {
@@ -48,7 +49,7 @@
     return replica != replicas_.end() && IsIdle(replica->second) &&
            now - replica->second.ready_since >= options_.minimum_residence;
   };
-  const auto takes_adapters_along = [&](const ModelName& base) {
+  const auto is_evictable_with_adapters = [&](const ModelName& base) {
     const auto on_base = adapters.find(base);
     return !base.empty() && is_evictable(base) && !wanted_bases.contains(base) &&
            (on_base == adapters.end() ||
@@ -57,8 +58,8 @@
   std::vector<EvictionGroup> groups;
   for (const auto& [model, replica] : replicas_) {
     const bool is_base = adapters.contains(model) || wanted_bases.contains(model);
-    const bool evictable = is_base ? takes_adapters_along(model) : is_evictable(model);
-    if (!evictable || takes_adapters_along(BaseNameOf(model))) {
+    const bool evictable = is_base ? is_evictable_with_adapters(model) : is_evictable(model);
+    if (!evictable || is_evictable_with_adapters(BaseNameOf(model))) {
       continue;
     }
     EvictionGroup group;
@@ -72,7 +73,8 @@
   return groups;
 }
 
-// As one replica: idle as long as the member used last, reloaded one after the other.
+// Describes the group as one replica: its idle time is that of the member used most recently, and
+// its members are reloaded one after the other.
 IdleReplica WorkerKeeper::DescribeGroup(const std::vector<ModelName>& members,
                                         absl::Time now) const {
   IdleReplica sum;
@@ -106,7 +108,7 @@
   return sum;
 }
 
-// Whether the load could get its memory by evicting every replica that is idle now.
+// Returns whether the load could get its memory by evicting every replica that is idle now.
 bool WorkerKeeper::CanMakeRoom(const ModelName& model, std::uint32_t needed_mib,
                                absl::Time now) const {
   if (options_.disable_ledger_for_test) {
@@ -134,7 +136,8 @@
          replica.order != OrderKind::kUnload && replica.stage == OrderStage::kSettled;
 }
 
-// Replicas that may be unloaded now. A base stays while an adapter on it is loaded or wanted.
+// Returns the replicas that may be unloaded now. A base stays loaded while an adapter on it is
+// loaded or waiting.
 std::vector<IdleReplica> WorkerKeeper::IdleReplicas(absl::Time now) const {
   absl::flat_hash_set<ModelName> bases_in_use;
   const auto use_base_of = [&](const ModelName& model) {
--- a/src/placement/worker_keeper_inventory.cc
+++ b/src/placement/worker_keeper_inventory.cc
@@ -1,4 +1,4 @@
-// What a keeper knows of its worker's replicas.
+// Inventory of a keeper: the state of the worker's replicas.
 #include <algorithm>
 #include <utility>
 
@@ -8,45 +8,47 @@
 namespace hingespan {
 namespace {
 
-// Gaps between calls that are remembered for each model.
-constexpr std::size_t kGapsKept = 8;
+// Number of gaps between calls that are kept for each model.
+constexpr std::size_t kMaximumGaps = 8;
 
 void AddGap(double seconds, std::vector<double>* gaps) {
   gaps->push_back(seconds);
-  if (gaps->size() > kGapsKept) {
+  if (gaps->size() > kMaximumGaps) {
     gaps->erase(gaps->begin());
   }
 }
 
 }  // namespace
 
-// Takes in a status under the own fence. `call` is the number of the call that it answers.
-void WorkerKeeper::Absorb(const EngineStatus& status, std::uint64_t call, absl::Time now,
-                          Outbox* outbox) {
-  if (call < newest_absorbed_) {
+// Applies a status that was taken under this keeper's fence. `call` is the number of the call that
+// it answers.
+void WorkerKeeper::ApplyStatus(const EngineStatus& status, std::uint64_t call, absl::Time now,
+                               Outbox* outbox) {
+  if (call < newest_applied_call_) {
     return;
   }
-  newest_absorbed_ = call;
+  newest_applied_call_ = call;
   running_ = status.running;
   queued_ = status.queued;
   cached_ = status.cached;
-  absl::flat_hash_set<ModelName> shown_models;
-  for (const EngineReplica& shown : status.replicas) {
-    shown_models.insert(shown.model);
-    const bool unknown = !replicas_.contains(shown.model);
-    if (unknown && call >= unknown_from_) {
-      // Can't happen under an own fence. If it does, a new fence makes the inventory the truth.
+  absl::flat_hash_set<ModelName> reported_models;
+  for (const EngineReplica& reported : status.replicas) {
+    reported_models.insert(reported.model);
+    const bool unknown = !replicas_.contains(reported.model);
+    if (unknown && call >= unknown_from_call_) {
+      // Can't happen under this keeper's fence. If it does, a new fence makes the inventory
+      // authoritative again.
       BecomeFencing(now);
       return;
     }
     if (!unknown) {
-      AbsorbReplica(shown, call, now);
+      ApplyReplicaStatus(reported, call, now);
     }
   }
   std::vector<ModelName> gone;
   std::vector<ModelName> failed;
   for (const auto& [model, replica] : replicas_) {
-    if (!shown_models.contains(model)) {
+    if (!reported_models.contains(model)) {
       if (IsGone(replica, call)) {
         gone.push_back(model);
       }
@@ -66,53 +68,54 @@
   UnloadIdle(now, outbox);
 }
 
-void WorkerKeeper::AdoptReplica(const EngineReplica& shown, absl::Time now) {
+void WorkerKeeper::AdoptReplica(const EngineReplica& reported, absl::Time now) {
   Replica replica;
-  replica.generation = shown.generation;
-  replica.order_generation = shown.generation;
-  replica.state = shown.state;
-  replica.memory_mib = shown.memory_mib;
+  replica.generation = reported.generation;
+  replica.order_generation = reported.generation;
+  replica.state = reported.state;
+  replica.memory_mib = reported.memory_mib;
   replica.seen_at = now;
   replica.load_started = now;
-  replica.tier = TierOf(shown.model);
-  replica.expected_ready = now + estimator_.Estimate(replica.tier, shown.memory_mib);
-  replica.order = shown.state == ReplicaState::kDraining ? OrderKind::kUnload : OrderKind::kNone;
-  replica.shown = true;
+  replica.tier = TierOf(reported.model);
+  replica.expected_ready = now + estimator_.Estimate(replica.tier, reported.memory_mib);
+  replica.order = reported.state == ReplicaState::kDraining ? OrderKind::kUnload : OrderKind::kNone;
+  replica.reported_by_engine = true;
   replica.first_call = next_call_;
-  replica.evidence_from = next_call_;
-  replicas_[shown.model] = replica;
+  replica.conclusive_from_call = next_call_;
+  replicas_[reported.model] = replica;
 }
 
-void WorkerKeeper::AbsorbReplica(const EngineReplica& shown, std::uint64_t call, absl::Time now) {
-  Replica& replica = replicas_[shown.model];
+void WorkerKeeper::ApplyReplicaStatus(const EngineReplica& reported, std::uint64_t call,
+                                      absl::Time now) {
+  Replica& replica = replicas_[reported.model];
   if (call < replica.first_call) {
     return;
   }
-  NoteCall(shown.model, shown, replica, now);
-  replica.shown = true;
-  replica.generation = shown.generation;
-  replica.memory_mib = shown.memory_mib;
-  replica.running = shown.running;
-  replica.idle_ms = shown.idle_ms;
+  RecordCall(reported.model, reported, replica, now);
+  replica.reported_by_engine = true;
+  replica.generation = reported.generation;
+  replica.memory_mib = reported.memory_mib;
+  replica.running = reported.running;
+  replica.idle_ms = reported.idle_ms;
   replica.seen_at = now;
   if (replica.order != OrderKind::kUnload) {
-    SetState(shown.model, &replica, shown.state, now);
+    SetState(reported.model, &replica, reported.state, now);
     return;
   }
-  SetState(shown.model, &replica, ReplicaState::kDraining, now);
+  SetState(reported.model, &replica, ReplicaState::kDraining, now);
   const bool unload_missed = replica.stage == OrderStage::kSettled &&
-                             call >= replica.evidence_from &&
-                             shown.state != ReplicaState::kDraining;
+                             call >= replica.conclusive_from_call &&
+                             reported.state != ReplicaState::kDraining;
   if (unload_missed) {
     replica.stage = OrderStage::kLost;
-    replica.next_try = now + options_.order_retry;
+    replica.retry_at = now + options_.order_retry;
   }
 }
 
-// A replica is gone when a status does not show it that was taken after the newest order for it was
+// A replica is gone if it is missing from a status that was taken after the newest order for it was
 // answered: earlier orders are void by then, and a late copy of the newest one is refused.
 bool WorkerKeeper::IsGone(const Replica& replica, std::uint64_t call) const {
-  return replica.stage == OrderStage::kSettled && call >= replica.evidence_from;
+  return replica.stage == OrderStage::kSettled && call >= replica.conclusive_from_call;
 }
 
 // Spec action: ConfirmGone.
@@ -127,7 +130,7 @@
   const bool revoked = revocation != revocations_.end() && replica.order == OrderKind::kUnload &&
                        replica.order_generation >= revocation->second.generation;
   if (revoked || replica.load_refused) {
-    // A load refused under the own fence: the engine has seen a larger generation.
+    // A load refused under this keeper's fence means that the engine has seen a larger generation.
     GrantGeneration& highest = revoked_[model];
     highest = std::max(highest, replica.order_generation);
   }
@@ -135,17 +138,17 @@
     revocations_.erase(revocation);
   }
   replicas_.erase(model);
-  unknown_from_ = next_call_;
+  unknown_from_call_ = next_call_;
 }
 
-void WorkerKeeper::NoteCall(const ModelName& model, const EngineReplica& shown, const Replica& held,
-                            absl::Time now) {
+void WorkerKeeper::RecordCall(const ModelName& model, const EngineReplica& reported,
+                              const Replica& held, absl::Time now) {
   const bool was_idle = held.running == 0 && held.idle_ms > 0;
-  const bool was_called = shown.running > 0 || shown.idle_ms < held.idle_ms;
+  const bool was_called = reported.running > 0 || reported.idle_ms < held.idle_ms;
   if (was_idle && was_called) {
     AddGap(static_cast<double>(held.idle_ms) / 1000.0, &histories_[model].gaps);
   }
-  if (shown.running > 0) {
+  if (reported.running > 0) {
     histories_[model].last_used = now;
   }
 }
--- a/src/placement/worker_keeper_loads.cc
+++ b/src/placement/worker_keeper_loads.cc
@@ -8,18 +8,18 @@
 namespace hingespan {
 namespace {
 
-// When to ask again after a refusal for want of memory.
+// Time after which a router may ask again after a refusal for lack of memory.
 constexpr absl::Duration kMemoryRetry = absl::Seconds(1);
-// What an eviction is expected to take.
+// Expected time of an eviction.
 constexpr absl::Duration kEvictionTime = absl::Milliseconds(500);
-// Least expected wait of a load that is overdue.
+// Minimum expected wait of a load that is overdue.
 constexpr absl::Duration kOverdueWait = absl::Milliseconds(100);
-// A waiting load is kept this long past its deadline: the placer sends a later one while other
+// Time that a waiting load is kept past its deadline. The placer sends a later deadline while other
 // requests wait.
 constexpr absl::Duration kDeadlineGrace = absl::Seconds(2);
-// Time limit of a load request that names none.
+// Deadline of a load request that carries none.
 constexpr absl::Duration kDefaultDeadline = absl::Seconds(30);
-// A permit's number is the keeper's epoch and, in this many bits, a count.
+// A permit number consists of the keeper's epoch and a counter of this many bits.
 constexpr int kPermitNumberBits = 32;
 
 std::uint32_t ToMilliseconds(absl::Duration duration) {
@@ -57,7 +57,7 @@
   return reply;
 }
 
-// Why the load can't be taken, or kReady when there is nothing to load.
+// Returns the reason for which the load can't be accepted, or kReady if there is nothing to load.
 std::optional<LoadOutcome> WorkerKeeper::RefuseLoad(const LoadRequest& request,
                                                     absl::Time now) const {
   const auto row = store_->FindRow(request.model);
@@ -100,7 +100,7 @@
 }
 
 void WorkerKeeper::EnqueueLoad(const LoadRequest& request, absl::Time now) {
-  const bool fresh = !waiting_loads_.contains(request.model);
+  const bool is_new = !waiting_loads_.contains(request.model);
   WaitingLoad& load = waiting_loads_[request.model];
   const GrantGeneration generation = std::max(load.request.generation, request.generation);
   load.request = request;
@@ -109,13 +109,13 @@
       now + (request.earliest_deadline_ms == 0 ? kDefaultDeadline
                                                : absl::Milliseconds(request.earliest_deadline_ms));
   const auto history = histories_.find(request.model);
-  if (fresh && history != histories_.end() && history->second.last_used != absl::InfinitePast()) {
+  if (is_new && history != histories_.end() && history->second.last_used != absl::InfinitePast()) {
     history->second.gaps.push_back(absl::ToDoubleSeconds(now - history->second.last_used));
     history->second.last_used = absl::InfinitePast();
   }
 }
 
-// An adapter's base is loaded first, inside the base's own grant.
+// Loads an adapter's base first, within the base's own grant.
 void WorkerKeeper::EnqueueBase(const LoadRequest& request, absl::Time now) {
   const auto row = store_->FindRow(request.model);
   const bool needed = row != nullptr && BaseOf(*row) == BaseState::kPending &&
@@ -149,9 +149,10 @@
   }
   const auto held = replicas_.find(request.model);
   if (held != replicas_.end() && held->second.order_generation > request.generation) {
-    // A late request: the model was granted anew since. The engine refuses older loads once it
-    // has shown the newer replica.
-    reply.confirmed = held->second.shown && held->second.generation > request.generation;
+    // The request is late: the model has since been granted again. The engine refuses older loads
+    // once it has reported the newer replica.
+    reply.confirmed =
+        held->second.reported_by_engine && held->second.generation > request.generation;
     return reply;
   }
   const auto waiting = waiting_loads_.find(request.model);
@@ -164,7 +165,7 @@
   return reply;
 }
 
-// A permit that is not awaited was granted to a late copy of a request: it is returned.
+// Returns a permit that is not expected, as it was granted to a late copy of a request.
 void WorkerKeeper::HandlePermit(const PermitReply& reply, absl::Time now, Outbox* outbox) {
   if (!reply.granted) {
     return;
@@ -199,10 +200,10 @@
   }
 }
 
-// Starts what can start, the earliest deadline first. Memory that is being freed for an earlier
-// load is not given to a later one.
+// Starts the loads that can start, earliest deadline first. Memory that is being freed for an
+// earlier load is not given to a later one.
 void WorkerKeeper::TryStartLoads(absl::Time now, Outbox* outbox) {
-  std::uint64_t claimed_mib = 0;
+  std::uint64_t earlier_loads_mib = 0;
   for (const ModelName& model : WaitingByDeadline()) {
     const auto row = store_->FindRow(model);
     const auto held = replicas_.find(model);
@@ -211,33 +212,33 @@
       waiting_loads_.erase(model);
       continue;
     }
-    if (TryStartLoad(*row, claimed_mib, now, outbox)) {
+    if (TryStartLoad(*row, earlier_loads_mib, now, outbox)) {
       waiting_loads_.erase(model);
     } else {
-      claimed_mib += row->memory_mib;
+      earlier_loads_mib += row->memory_mib;
     }
   }
 }
 
-bool WorkerKeeper::TryStartLoad(const ModelRow& row, std::uint64_t claimed_mib, absl::Time now,
-                                Outbox* outbox) {
+bool WorkerKeeper::TryStartLoad(const ModelRow& row, std::uint64_t earlier_loads_mib,
+                                absl::Time now, Outbox* outbox) {
   WaitingLoad& load = waiting_loads_[row.name];
   const BaseState base = BaseOf(row);
   const bool base_usable = base == BaseState::kNotNeeded || base == BaseState::kReady;
   if (replicas_.contains(row.name) || !base_usable) {
     return false;
   }
-  const std::uint64_t needed_mib = claimed_mib + row.memory_mib;
+  const std::uint64_t needed_mib = earlier_loads_mib + row.memory_mib;
   const bool fits = options_.disable_ledger_for_test || needed_mib <= ledger_.free_mib();
   if (!fits) {
-    const std::uint64_t coming_mib = std::uint64_t{ledger_.free_mib()} + BeingFreedMib();
-    if (needed_mib > coming_mib) {
-      Evict(static_cast<std::uint32_t>(needed_mib - coming_mib), now, outbox);
+    const std::uint64_t expected_free_mib = std::uint64_t{ledger_.free_mib()} + BeingFreedMib();
+    if (needed_mib > expected_free_mib) {
+      Evict(static_cast<std::uint32_t>(needed_mib - expected_free_mib), now, outbox);
     }
     return false;
   }
   if (!HasPermit(row.name, now)) {
-    AskPermit(row.name, &load, now, outbox);
+    RequestPermit(row.name, &load, now, outbox);
     return false;
   }
   if (!Reserve(row.name, row.memory_mib)) {
@@ -256,10 +257,10 @@
          now - permit->second.asked_at < options_.permit_use_within;
 }
 
-// A request that was not granted in time to be used becomes a new one, which returns the permit
-// that may have been granted for it.
-void WorkerKeeper::AskPermit(const ModelName& model, WaitingLoad* load, absl::Time now,
-                             Outbox* outbox) {
+// A request that was not granted in time for use is replaced by a new one, which also returns the
+// permit that may have been granted for the old one.
+void WorkerKeeper::RequestPermit(const ModelName& model, WaitingLoad* load, absl::Time now,
+                                 Outbox* outbox) {
   if (now < load->next_permit_request || permit_holder_.empty()) {
     return;
   }
@@ -277,7 +278,7 @@
   outbox->Send(permit_holder_, request);
 }
 
-// Returns permits whose load has ended or is not wanted any more, also those not granted yet.
+// Returns permits whose load has ended or is no longer wanted, including those not granted yet.
 void WorkerKeeper::ReleaseUnusedPermits(Outbox* outbox) {
   for (auto permit = permits_.begin(); permit != permits_.end();) {
     const auto held = replicas_.find(permit->first);
@@ -305,7 +306,7 @@
   return options_.disable_ledger_for_test || ledger_.Reserve(model, memory_mib);
 }
 
-// Spec action: OrderLoad. The memory is reserved already.
+// Spec action: OrderLoad. The caller has reserved the memory.
 void WorkerKeeper::OrderLoad(const LoadRequest& request, const ModelRow& row, absl::Time deadline,
                              absl::Time now, Outbox* outbox) {
   Replica replica;
@@ -337,7 +338,7 @@
   SendOrder(row.name, replica, std::move(order), now, outbox);
 }
 
-// Spec action: OrderUnload. Also raises the engine's generation for the model when there is no
+// Spec action: OrderUnload. Also raises the engine's generation for the model if there is no
 // replica, so that every earlier load order is void.
 void WorkerKeeper::OrderUnload(const ModelName& model, GrantGeneration generation, absl::Time now,
                                Outbox* outbox) {
@@ -379,10 +380,10 @@
 }
 
 // A lost order may still be applied at any time. Only the answer to a later order for the model
-// settles what is there: the engine then refuses the earlier one.
+// makes its state certain, as the engine then refuses the earlier one.
 void WorkerKeeper::RepeatLostOrders(absl::Time now, Outbox* outbox) {
   for (auto& [model, replica] : replicas_) {
-    if (replica.stage != OrderStage::kLost || now < replica.next_try) {
+    if (replica.stage != OrderStage::kLost || now < replica.retry_at) {
       continue;
     }
     const auto row = store_->FindRow(model);
--- a/src/placement/worker_keeper_reports.cc
+++ b/src/placement/worker_keeper_reports.cc
@@ -1,5 +1,5 @@
-// What a keeper tells its zone: changes of replicas at once, a report when the worker changes in
-// what others decide by, and what its node's heartbeats confirm.
+// Reports of a keeper to its zone: replica changes at once, a report when the worker changes in a
+// way that affects the decisions of others, and the data that its node's heartbeats confirm.
 #include <algorithm>
 #include <tuple>
 #include <utility>
@@ -10,30 +10,32 @@
 namespace hingespan {
 namespace {
 
-// A part of a replica list stays well below a datagram.
+// Maximum size of one part of a replica list, well below the size of a datagram.
 constexpr std::size_t kListPartBytes = 1000;
 constexpr std::size_t kListEntryBytes = 24;
-// A load is reported again when it differs by a quarter; below eight requests, by one.
+// A load is reported again when it differs by a quarter, or by one below eight requests.
 constexpr std::uint32_t kLoadFraction = 4;
 
-// Whether the two differ in what decides where new work may go at all.
-bool DifferInUse(const WorkerReport& left, const WorkerReport& right) {
-  const auto use = [](const WorkerReport& report) {
+// Returns whether the reports differ in a field that decides which workers may receive new work at
+// all.
+bool DifferInEligibility(const WorkerReport& left, const WorkerReport& right) {
+  const auto eligibility = [](const WorkerReport& report) {
     return std::tie(report.incarnation, report.epoch, report.base_url, report.reachable,
                     report.leaving, report.memory_mib);
   };
-  return use(left) != use(right);
+  return eligibility(left) != eligibility(right);
 }
 
-bool DifferInLoad(std::uint32_t told, std::uint32_t present) {
-  const std::uint32_t difference = std::max(told, present) - std::min(told, present);
-  return difference >= std::max<std::uint32_t>(1, told / kLoadFraction);
+bool DifferInLoad(std::uint32_t reported, std::uint32_t current) {
+  const std::uint32_t difference = std::max(reported, current) - std::min(reported, current);
+  return difference >= std::max<std::uint32_t>(1, reported / kLoadFraction);
 }
 
-// Whether the two differ in what decides which of several workers is the best.
-bool DifferInOrder(const WorkerReport& told, const WorkerReport& present) {
-  return told.memory_charged_mib != present.memory_charged_mib ||
-         DifferInLoad(told.running, present.running) || DifferInLoad(told.queued, present.queued);
+// Returns whether the reports differ in a field by which eligible workers are ranked.
+bool DifferInRanking(const WorkerReport& reported, const WorkerReport& current) {
+  return reported.memory_charged_mib != current.memory_charged_mib ||
+         DifferInLoad(reported.running, current.running) ||
+         DifferInLoad(reported.queued, current.queued);
 }
 
 }  // namespace
@@ -72,20 +74,20 @@
 // Spec action: SendReport.
 void WorkerKeeper::SendReports(absl::Time now, Outbox* outbox) {
   const std::vector<NodeId> new_peers = std::exchange(new_peers_, {});
-  const bool use_changed = !sent_report_ || DifferInUse(*sent_report_, Describe());
-  const bool order_changed =
-      !use_changed && now >= next_report_ && DifferInOrder(*sent_report_, Describe());
+  const bool eligibility_changed = !sent_report_ || DifferInEligibility(*sent_report_, Describe());
+  const bool ranking_changed =
+      !eligibility_changed && now >= next_report_ && DifferInRanking(*sent_report_, Describe());
   const bool repeated = now >= repeat_report_;
-  if (use_changed || order_changed) {
+  if (eligibility_changed || ranking_changed) {
     sent_report_ = Report();
     next_report_ = now + options_.report_interval;
   }
-  if (use_changed) {
+  if (eligibility_changed) {
     repeat_report_ = next_report_;
   } else if (repeated) {
     repeat_report_ = absl::InfiniteFuture();
   }
-  const bool to_all = use_changed || order_changed || repeated;
+  const bool to_all = eligibility_changed || ranking_changed || repeated;
   for (const NodeId& peer : to_all ? peers_ : new_peers) {
     outbox->Send(peer, *sent_report_);
   }
--- a/src/placement/worker_keeper_time.h
+++ b/src/placement/worker_keeper_time.h
@@ -1,4 +1,4 @@
-// Times as a keeper puts them on the wire.
+// Conversion of times for a keeper's messages.
 #ifndef HINGESPAN_SRC_PLACEMENT_WORKER_KEEPER_TIME_H_
 #define HINGESPAN_SRC_PLACEMENT_WORKER_KEEPER_TIME_H_
 
@@ -9,7 +9,7 @@
 
 namespace hingespan {
 
-// Milliseconds from `now` until `until`; 0 when that is past.
+// Returns the milliseconds from `now` until `until`, or 0 if that time has passed.
 inline std::uint32_t MillisecondsLeft(absl::Time until, absl::Time now) {
   const std::int64_t left = absl::ToInt64Milliseconds(until - now);
   return static_cast<std::uint32_t>(std::clamp<std::int64_t>(left, 0, UINT32_MAX));
--- a/tests/placement/keeper_rig.h
+++ b/tests/placement/keeper_rig.h
@@ -1,4 +1,4 @@
-// One worker's keeper, its engine, its records and one peer.
+// Test fixture with one worker's keeper, its engine, its records and one peer.
 #ifndef HINGESPAN_TESTS_PLACEMENT_KEEPER_RIG_H_
 #define HINGESPAN_TESTS_PLACEMENT_KEEPER_RIG_H_
 
@@ -13,7 +13,7 @@
 
 inline const WorkerId kWorker("w");
 inline const NodeId kPeer("peer");
-inline const NodeId kPermits("permits");
+inline const NodeId kPermitHolder("permits");
 
 inline KeeperOptions EagerOptions() {
   KeeperOptions options;
@@ -33,7 +33,7 @@
   explicit Rig(KeeperOptions options = EagerOptions())
       : keeper(NodeId("n"), WorkerMachine{kWorker, ZoneId("z"), "http://e"}, options, &store) {}
 
-  // A row with a granted slot at the worker's first incarnation.
+  // Adds a row with a granted slot at the worker's first incarnation.
   void AddModel(const std::string& name, std::uint32_t memory_mib, const std::string& base = "",
                 std::uint32_t min_replicas = 0) {
     ModelRow row;
@@ -53,13 +53,13 @@
   }
   void Tick(absl::Duration after = absl::Milliseconds(100)) {
     now += after;
-    keeper.Tick({kPeer}, kPermits, now, &outbox);
+    keeper.Tick({kPeer}, kPermitHolder, now, &outbox);
   }
   std::vector<EngineCall> TakeCalls() { return std::exchange(outbox.engine_calls, {}); }
   void Answer(const EngineCall& call, Result<EngineStatus> result) {
     keeper.HandleAnswer({call.call, kWorker, std::move(result)}, {kPeer}, now, &outbox);
   }
-  // Runs with a reliable network; loads and drains end after each round.
+  // Runs with a reliable network. Loads and drains end after each round.
   void Run(int rounds = 3) {
     for (int round = 0; round < rounds; ++round) {
       Tick();
@@ -87,7 +87,7 @@
                       now, &outbox)
         .confirmed;
   }
-  // Forgets the messages sent so far.
+  // Returns the sent messages of type T and discards all others.
   template <typename T>
   std::vector<T> TakeSent() {
     std::vector<T> sent;
--- a/tests/placement/placement_property_test.cc
+++ b/tests/placement/placement_property_test.cc
@@ -1,5 +1,5 @@
-// Grants, keepers and engines together, over random schedules of every fault: I1 and I2 must hold
-// after each step, and each protection that is switched off must be missed.
+// Runs grant managers, keepers and engines together over random schedules with every fault. I1 and
+// I2 must hold after each step, and disabling any protection must cause a detected violation.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -15,77 +15,78 @@
 namespace {
 
 constexpr std::size_t kSteps = 6000;
-// Schedules within which a missing protection has to show.
-constexpr std::uint64_t kSeedsUntilCaught = 400;
+// Number of schedules within which a disabled protection must cause a violation.
+constexpr std::uint64_t kMaximumSeeds = 400;
 
 struct RunResult {
   std::string violation;
   int loads_applied = 0;
 };
 
-RunResult RunSchedule(const WorldOptions& options, std::uint64_t seed, bool settle) {
-  TestWorld world(options);
+RunResult RunSchedule(const TestClusterOptions& options, std::uint64_t seed, bool settle) {
+  TestCluster cluster(options);
   Random random(seed);
   for (std::size_t step = 0; step < kSteps; ++step) {
-    world.Step(static_cast<std::uint32_t>(random.Next()));
-    const std::string violation = world.Violation();
+    cluster.Step(static_cast<std::uint32_t>(random.Next()));
+    const std::string violation = cluster.Violation();
     if (!violation.empty()) {
-      return {violation, world.loads_applied};
+      return {violation, cluster.loads_applied};
     }
   }
   if (settle) {
-    world.Settle();
-    return {world.Violation() + world.Unsettled(), world.loads_applied};
+    cluster.Settle();
+    return {cluster.Violation() + cluster.Unsettled(), cluster.loads_applied};
   }
-  return {"", world.loads_applied};
+  return {"", cluster.loads_applied};
 }
 
-// The first seed whose schedule breaks a rule, and how; fails when there is none.
-void CheckIsCaught(WorldOptions options, const std::string& rule) {
+// Finds the first seed whose schedule violates an invariant and checks the violation; fails if
+// there is none.
+void CheckFindsViolation(TestClusterOptions options, const std::string& rule) {
   options.check_records = false;
-  for (std::uint64_t seed = 1; seed <= kSeedsUntilCaught; ++seed) {
+  for (std::uint64_t seed = 1; seed <= kMaximumSeeds; ++seed) {
     const RunResult result = RunSchedule(options, seed, false);
     if (!result.violation.empty()) {
-      MESSAGE("caught at seed " << seed << ": " << result.violation);
+      MESSAGE("violation found at seed " << seed << ": " << result.violation);
       CHECK(result.violation.find(rule) != std::string::npos);
       return;
     }
   }
-  FAIL("not caught");
+  FAIL("no violation found");
 }
 
 }  // namespace
 
-TEST_CASE("limits and memory hold over random schedules, and what was begun ends") {
+TEST_CASE("limits and memory hold over random schedules, and started operations complete") {
   int loads_applied = 0;
   const bool held = rc::check("I1 and I2 hold after each step", [&] {
     const std::uint64_t seed = *rc::gen::arbitrary<std::uint64_t>();
-    const RunResult result = RunSchedule(WorldOptions(), seed, true);
+    const RunResult result = RunSchedule(TestClusterOptions(), seed, true);
     loads_applied += result.loads_applied;
     RC_LOG() << "schedule seed " << seed << ": " << result.violation << "\n";
     RC_ASSERT(result.violation.empty());
   });
   CHECK(held);
-  // The schedules do something.
+  // The schedules must have applied loads at all.
   CHECK(loads_applied > 1000);
 }
 
-TEST_CASE("a grant manager without the limit is caught") {
-  WorldOptions options;
+TEST_CASE("a grant manager that ignores the limit violates I1") {
+  TestClusterOptions options;
   options.grant.disable_limit_for_test = true;
-  CheckIsCaught(options, "I1");
+  CheckFindsViolation(options, "I1");
 }
 
-TEST_CASE("a keeper without fences is caught") {
-  WorldOptions options;
+TEST_CASE("a keeper without fences violates I1") {
+  TestClusterOptions options;
   options.keeper.disable_fence_for_test = true;
-  CheckIsCaught(options, "I1");
+  CheckFindsViolation(options, "I1");
 }
 
-TEST_CASE("a keeper without the memory ledger is caught") {
-  WorldOptions options;
+TEST_CASE("a keeper without the memory ledger violates I2") {
+  TestClusterOptions options;
   options.keeper.disable_ledger_for_test = true;
-  CheckIsCaught(options, "I2");
+  CheckFindsViolation(options, "I2");
 }
 
 }  // namespace hingespan
--- a/tests/placement/placer_test.cc
+++ b/tests/placement/placer_test.cc
@@ -1,4 +1,5 @@
-// A model's placer: wake requests of many routers become few loads, and refusals reach all.
+// Tests of a model's placer: wake requests of many routers cause few loads, and refusals reach all
+// routers.
 #include "hingespan/placement/placer.h"
 
 #include <doctest/doctest.h>
@@ -34,7 +35,7 @@
     row.min_replicas = min_replicas;
     Store({RowKey(kModel), {}, row});
   }
-  // Grants a slot at each worker; w1 has the least free memory.
+  // Grants a slot at each worker. Worker w1 has the least free memory.
   void SetSlots(int count) {
     GrantRecord record;
     record.model = kModel;
@@ -107,7 +108,7 @@
 
 }  // namespace
 
-TEST_CASE("many routers lead to one load, at the worker with the most free memory") {
+TEST_CASE("many routers cause one load, at the worker with the most free memory") {
   Rig rig;
   rig.SetRow(3);
   rig.SetSlots(3);
@@ -124,7 +125,7 @@
   rig.Reply(loads[0], LoadOutcome::kAccepted);
   rig.Wake("r0");
   CHECK(rig.TakeReplies()[0].expected_wait_ms == 400);
-  // Eight places and four more a second until 4 s from now.
+  // Eight places now and four more per second until 4 s from now.
   rig.Wake("r1", 8);
   CHECK(rig.TakeLoads().empty());
   rig.Wake("r2", 40);
@@ -135,13 +136,13 @@
   CHECK(rig.TakeReplies()[0].outcome == WakeOutcome::kReady);
 }
 
-TEST_CASE("a few requests that a busy replica can't take in time get another one") {
+TEST_CASE("another replica is loaded for requests that a busy replica can't take in time") {
   Rig rig;
   rig.SetRow(2);
   rig.SetSlots(2);
   rig.SetReplica("w1", ReplicaState::kReady, 1);
-  // Eight places of 60 s each: one is free about every 7.5 s.
-  SUBCASE("the load is there in time") {
+  // Eight places of 60 s each, so one becomes free about every 7.5 s.
+  SUBCASE("the load ends in time") {
     rig.Wake("r0", 3, 5000, 60000);
     const std::vector<LoadRequest> loads = rig.TakeLoads();
     REQUIRE(loads.size() == 1);
@@ -149,7 +150,7 @@
     rig.Wake("r0", 3, 4900, 60000);
     CHECK(rig.TakeLoads().empty());
   }
-  SUBCASE("the load would come too late") {
+  SUBCASE("the load would end too late") {
     rig.Wake("r0", 3, 100, 60000);
     CHECK(rig.TakeLoads().empty());
   }
@@ -159,7 +160,7 @@
   }
 }
 
-TEST_CASE("requests heard of before a replica was ready find its free places") {
+TEST_CASE("requests received before a replica was ready use its free places") {
   Rig rig;
   rig.SetRow(2);
   rig.SetSlots(2);
@@ -169,7 +170,7 @@
   rig.SetReplica("w2", ReplicaState::kReady, 1);
   rig.Wake("r0", 6, 4800, 60000);
   CHECK(rig.TakeLoads().empty());
-  // They wait on: it was full.
+  // The requests keep waiting because the replica was full.
   rig.Tick(absl::Seconds(1));
   rig.Wake("r0", 6, 3800, 60000);
   CHECK(rig.TakeLoads().size() == 1);
@@ -186,7 +187,8 @@
   CHECK(rig.TakeLoads().size() == 6);
 }
 
-TEST_CASE("a refused load leads to the next slot, and refusals by all reach all at once") {
+TEST_CASE(
+    "after a refused load the next slot is asked, and once all refused every router is told") {
   Rig rig;
   rig.SetRow(2);
   rig.SetSlots(2);
@@ -214,7 +216,7 @@
   CHECK(rig.TakeLoads().size() == 1);
 }
 
-TEST_CASE("a silent keeper is passed over") {
+TEST_CASE("a keeper that does not answer is skipped") {
   Rig rig;
   rig.SetRow(2);
   rig.SetSlots(2);
@@ -232,7 +234,7 @@
   CHECK(asked == WorkerId("w1"));
 }
 
-TEST_CASE("a grant that may come is waited for; no grant, no worker and no row are refused") {
+TEST_CASE("requests wait for a possible grant; a missing grant, worker or row causes a refusal") {
   Rig rig;
   rig.Wake("r0");
   CHECK(rig.TakeReplies()[0].reason == WakeRefusal::kUnknownModel);
--- a/tests/placement/policy_test.cc
+++ b/tests/placement/policy_test.cc
@@ -1,4 +1,5 @@
-// Pure parts of placement: ledger, load times, keep-warm policy and permits.
+// Tests of the pure parts of placement: memory ledger, load estimator, keep-warm policy and
+// permits.
 #include <doctest/doctest.h>
 
 #include <vector>
@@ -21,7 +22,8 @@
   return idle;
 }
 
-PermitRequest Ask(const std::string& model, std::uint32_t deadline_ms, bool release = false) {
+PermitRequest MakeRequest(const std::string& model, std::uint32_t deadline_ms,
+                          bool release = false) {
   return {WorkerId("w"), ModelName(model), 1, 1, deadline_ms, release};
 }
 
@@ -32,17 +34,17 @@
 }
 
 // The holder of the only zone, which has just gained the use of its slots.
-struct LoneHolder {
-  explicit LoneHolder(PermitOptions options)
+struct SingleZoneHolder {
+  explicit SingleZoneHolder(PermitOptions options)
       : holder(NodeId("h"), NodeIncarnation(1), ZoneId("z"), {ZoneId("z")}, options) {
     const absl::Time ready = kStart - absl::Seconds(1);
     for (absl::Time now = ready - options.lease - SettleTime(options); now <= kStart;
          now += absl::Seconds(1)) {
       Tick(now);
     }
-    // The token that was saved up.
-    holder.Handle(From(NodeId("n")), Ask("saved", 0), kStart, &outbox);
-    holder.Handle(From(NodeId("n")), Ask("saved", 0, true), kStart, &outbox);
+    // Uses the token that had accumulated.
+    holder.Handle(From(NodeId("n")), MakeRequest("saved", 0), kStart, &outbox);
+    holder.Handle(From(NodeId("n")), MakeRequest("saved", 0, true), kStart, &outbox);
     outbox.messages.clear();
   }
   void Tick(absl::Time now) { holder.Tick({true, peers, zones}, now, &outbox); }
@@ -69,7 +71,7 @@
 
 }  // namespace
 
-TEST_CASE("the ledger never promises more than there is") {
+TEST_CASE("the ledger never charges more than the capacity") {
   EngineStatus inventory;
   inventory.memory_mib = 100;
   inventory.replicas = {{ModelName("a"), GrantGeneration(1), ReplicaState::kDraining, 60}};
@@ -85,7 +87,7 @@
   CHECK(ledger.charged_mib() == 40);
 }
 
-TEST_CASE("load times are learnt by tier") {
+TEST_CASE("load times are estimated by tier from observed loads") {
   LoadEstimator estimator{LoadEstimatorOptions()};
   const absl::Duration disk = estimator.Estimate(CacheTier::kDisk, 2048);
   CHECK(disk == absl::Milliseconds(700));
@@ -123,40 +125,41 @@
   CHECK(ChooseEvictions(idle, 50, options) == std::vector<std::size_t>{2});
 }
 
-TEST_CASE("permits keep rate and concurrency, by earliest deadline, and come back when lost") {
+TEST_CASE(
+    "permits respect rate and concurrency, go to the earliest deadline, and expire when lost") {
   PermitOptions options;
   options.rate_per_second = 2;
   options.concurrency = 2;
-  LoneHolder rig(options);
-  rig.Handle(Ask("late", 9000), kStart);
-  rig.Handle(Ask("soon", 1000), kStart);
-  rig.Handle(Ask("next", 2000), kStart);
+  SingleZoneHolder rig(options);
+  rig.Handle(MakeRequest("late", 9000), kStart);
+  rig.Handle(MakeRequest("soon", 1000), kStart);
+  rig.Handle(MakeRequest("next", 2000), kStart);
   CHECK(Granted(rig.outbox).empty());
   rig.Tick(kStart + absl::Milliseconds(500));
   CHECK(Granted(rig.outbox) == std::vector<std::string>{"soon"});
   rig.Tick(kStart + absl::Seconds(2));
   CHECK(Granted(rig.outbox) == std::vector<std::string>{"soon", "next"});
-  // A repeat is the same permit; a third must wait for a return.
-  rig.Handle(Ask("soon", 1000), kStart + absl::Seconds(2));
-  rig.Handle(Ask("late", 9000), kStart + absl::Seconds(2));
+  // A repeated request gets the same permit; a third one must wait for a return.
+  rig.Handle(MakeRequest("soon", 1000), kStart + absl::Seconds(2));
+  rig.Handle(MakeRequest("late", 9000), kStart + absl::Seconds(2));
   CHECK(rig.holder.granted_count() == 2);
-  rig.Handle(Ask("soon", 0, true), kStart + absl::Seconds(3));
+  rig.Handle(MakeRequest("soon", 0, true), kStart + absl::Seconds(3));
   CHECK(Granted(rig.outbox).back() == "late");
-  // Keepers that died: their permits and requests end.
+  // Permits and requests of keepers that failed time out.
   rig.Tick(kStart + absl::Seconds(3) + options.permit_timeout);
   CHECK(rig.holder.granted_count() == 0);
   CHECK(rig.holder.waiting_count() == 0);
 }
 
-TEST_CASE("a late return of an earlier permit does not end the present one") {
-  LoneHolder rig{PermitOptions()};
-  PermitRequest request = Ask("m", 1000);
+TEST_CASE("a late return of an earlier permit does not end the current one") {
+  SingleZoneHolder rig{PermitOptions()};
+  PermitRequest request = MakeRequest("m", 1000);
   request.number = 2;
   const absl::Time later = kStart + absl::Seconds(2);
   rig.Tick(later);
   rig.Handle(request, later);
   CHECK(rig.holder.granted_count() == 1);
-  rig.Handle(Ask("m", 0, true), later);
+  rig.Handle(MakeRequest("m", 0, true), later);
   CHECK(rig.holder.granted_count() == 1);
   request.release = true;
   rig.Handle(request, later);
--- a/tests/placement/replica_count_policy_test.cc
+++ b/tests/placement/replica_count_policy_test.cc
@@ -1,4 +1,4 @@
-// When waiting requests call for one more replica.
+// Tests when waiting requests need one more replica.
 #include "hingespan/placement/replica_count_policy.h"
 
 #include <doctest/doctest.h>
@@ -23,8 +23,9 @@
 
 }  // namespace
 
-TEST_CASE("a full replica serves what its places let through in time, and no more") {
-  // Four places of 4 s each: one a second. 10 s left, of which 8 may be waited.
+TEST_CASE("a full replica serves no more requests in time than its places allow") {
+  // Four places of 4 s each serve one request per second. 8 of the remaining 10 s may be spent
+  // waiting.
   ReplicaDemand demand = Demand(8, absl::Seconds(10), absl::Seconds(4));
   demand.replicas = {{kNow, true}};
   CHECK_FALSE(NeedsAnother(demand));
@@ -32,14 +33,14 @@
   CHECK(NeedsAnother(demand));
   demand.replicas.push_back({kNow, true});
   CHECK_FALSE(NeedsAnother(demand));
-  // The same over two routers.
+  // The same requests spread over two routers.
   demand = Demand(5, absl::Seconds(10), absl::Seconds(4));
   demand.replicas = {{kNow, true}};
   demand.waiting.push_back({4, absl::Seconds(10), absl::Seconds(10)});
   CHECK(NeedsAnother(demand));
 }
 
-TEST_CASE("a replica that comes has all its places free, but not before it is ready") {
+TEST_CASE("an expected replica has all its places free, but not before it is ready") {
   ReplicaDemand demand = Demand(4, absl::Seconds(10), absl::Minutes(10));
   demand.replicas = {{absl::Seconds(7), false}};
   CHECK_FALSE(NeedsAnother(demand));
@@ -50,18 +51,18 @@
   CHECK(NeedsAnother(demand));
 }
 
-TEST_CASE("no replica is called for that would come too late") {
+TEST_CASE("no replica is needed that would be ready too late") {
   ReplicaDemand demand = Demand(3, absl::Seconds(2), absl::Minutes(10));
   demand.replicas = {{kNow, true}};
   CHECK(NeedsAnother(demand));
   demand.load = absl::Milliseconds(2001);
   CHECK_FALSE(NeedsAnother(demand));
-  // The one that is due first is lost; the others are not.
+  // The request that is due first can't be served in time; the others can.
   demand.waiting[0].latest_left = absl::Seconds(20);
   CHECK(NeedsAnother(demand));
 }
 
-TEST_CASE("requests that are lost take no place from the others") {
+TEST_CASE("requests that can't be served in time take no place from the others") {
   ReplicaDemand demand = Demand(4, absl::ZeroDuration(), absl::Minutes(10));
   demand.waiting.push_back({4, absl::Seconds(20), absl::Seconds(20)});
   demand.replicas = {{absl::Seconds(1), false}};
@@ -70,7 +71,7 @@
   CHECK(NeedsAnother(demand));
 }
 
-TEST_CASE("before any request was seen to end, the setting's time is used") {
+TEST_CASE("the configured service time is used until a request has been observed") {
   ReplicaDemand demand = Demand(4, absl::Seconds(5), kNow);
   demand.replicas = {{kNow, true}};
   ReplicaCountOptions options;
@@ -78,7 +79,7 @@
   CHECK_FALSE(ReplicaCountPolicy(options).NeedsAnother(demand));
   options.first_service = absl::Minutes(1);
   CHECK(ReplicaCountPolicy(options).NeedsAnother(demand));
-  // Nobody waits.
+  // No request waits.
   demand.waiting.clear();
   CHECK_FALSE(ReplicaCountPolicy(options).NeedsAnother(demand));
 }
--- a/tests/placement/test_engine.h
+++ b/tests/placement/test_engine.h
@@ -1,4 +1,4 @@
-// An engine that applies fences like the emulator's (it uses the same gate), without any time.
+// An engine without any delays that applies fences with the same gate as the emulator's.
 #ifndef HINGESPAN_TESTS_PLACEMENT_TEST_ENGINE_H_
 #define HINGESPAN_TESTS_PLACEMENT_TEST_ENGINE_H_
 
@@ -17,11 +17,11 @@
  public:
   explicit TestEngine(std::uint32_t memory_mib = 100) : memory_mib_(memory_mib) {}
 
-  // Applies a call; may be called again for a copy of it.
+  // Applies a call. May be called again with the same call to simulate a duplicate.
   Result<EngineStatus> Apply(const EngineCall& call) {
     return std::visit([this](const auto& order) { return On(order); }, call.order);
   }
-  // A load or an unload that is under way ends.
+  // Completes a load or an unload that is in progress.
   void Progress(const ModelName& model) {
     const auto replica = replicas_.find(model);
     if (replica == replicas_.end()) {
@@ -63,7 +63,7 @@
   const std::map<ModelName, EngineReplica>& replicas() const { return replicas_; }
 
  private:
-  // Orders of a keeper with disable_fence_for_test are admitted whatever the gate says.
+  // Orders of a keeper with disable_fence_for_test are admitted regardless of the gate.
   static bool IsUnfenced(const OrderFence& fence) {
     return fence.epoch == KeeperEpoch(std::numeric_limits<std::uint64_t>::max());
   }
--- a/tests/placement/test_world.cc
+++ b/tests/placement/test_world.cc
@@ -15,7 +15,7 @@
 constexpr std::size_t kWorkersOfZone1 = 2;
 constexpr std::size_t kNodes = 3;
 constexpr std::size_t kNodeOfZone2 = 2;
-// Two of these fit on a worker.
+// Two of these replicas fit on a worker.
 constexpr std::uint32_t kReplicaMib = 45;
 constexpr int kSettleRounds = 600;
 
@@ -29,7 +29,7 @@
   return row;
 }
 
-// Takes one element out, or copies it when it is to be delivered again later.
+// Removes and returns one element, or returns a copy of it if it is to be delivered again later.
 template <typename T>
 T Pick(std::vector<T>* items, std::uint32_t choice, bool keep_copy) {
   const std::size_t index = choice % items->size();
@@ -71,16 +71,16 @@
 }
 
 void TestPlatform::CopyTo(RecordStore* store) const {
-  std::vector<RecordChange> news;
+  std::vector<RecordChange> changes;
   for (const RecordChange& change : log_) {
     if (change.revision > store->revision()) {
-      news.push_back(change);
+      changes.push_back(change);
     }
   }
-  store->Apply(store->revision(), revision_, news);
+  store->Apply(store->revision(), revision_, changes);
 }
 
-TestWorld::TestWorld(WorldOptions options) : options_(options), nodes_(kNodes) {
+TestCluster::TestCluster(TestClusterOptions options) : options_(options), nodes_(kNodes) {
   for (const char* worker : kWorkers) {
     engines.emplace(worker, TestEngine());
   }
@@ -91,10 +91,10 @@
   for (std::size_t index = 0; index < kNodes; ++index) {
     StartNode(index);
   }
-  UpdateCeilings();
+  UpdateReplicaLimits();
 }
 
-void TestWorld::StartNode(std::size_t index) {
+void TestCluster::StartNode(std::size_t index) {
   Node& node = nodes_[index];
   node.id = NodeId(absl::StrCat("n", index));
   node.zone = kZones[index == kNodeOfZone2 ? 1 : 0];
@@ -121,8 +121,8 @@
   platform.CopyTo(node.store.get());
 }
 
-// Nodes learn incarnations from their own keepers, which may be behind.
-std::vector<GrantTarget> TestWorld::TargetsOf(const Node& node) const {
+// Nodes learn incarnations from their own keepers, which may be outdated.
+std::vector<GrantTarget> TestCluster::TargetsOf(const Node& node) const {
   std::vector<GrantTarget> targets;
   for (const auto& [worker, keeper] : node.keepers) {
     const WorkerReport report = keeper->Report();
@@ -137,14 +137,14 @@
   return targets;
 }
 
-std::size_t TestWorld::KeeperNode(const WorkerId& worker, std::uint32_t choice) const {
+std::size_t TestCluster::KeeperNode(const WorkerId& worker, std::uint32_t choice) const {
   if (worker == WorkerId("w3")) {
     return kNodeOfZone2;
   }
   return settling_ ? 0 : choice % kNodeOfZone2;
 }
 
-void TestWorld::TickNode(std::size_t index) {
+void TestCluster::TickNode(std::size_t index) {
   Node& node = nodes_[index];
   Outbox outbox;
   for (auto& [worker, keeper] : node.keepers) {
@@ -158,7 +158,7 @@
   Collect(index, &outbox);
 }
 
-void TestWorld::Collect(std::size_t index, Outbox* outbox) {
+void TestCluster::Collect(std::size_t index, Outbox* outbox) {
   const std::uint64_t instance = nodes_[index].instance;
   for (OutgoingMessage& outgoing : outbox->messages) {
     const std::size_t to = static_cast<std::size_t>(outgoing.to.value()[1] - '0');
@@ -172,7 +172,7 @@
   }
 }
 
-void TestWorld::Deliver(const InFlightMessage& message) {
+void TestCluster::Deliver(const InFlightMessage& message) {
   Node& node = nodes_[message.to];
   Outbox outbox;
   if (const auto* load = std::get_if<LoadRequest>(&message.message)) {
@@ -191,7 +191,7 @@
   Collect(message.to, &outbox);
 }
 
-void TestWorld::ApplyEngineCall(const InFlightCall<EngineCall>& call, bool answer) {
+void TestCluster::ApplyEngineCall(const InFlightCall<EngineCall>& call, bool answer) {
   EngineAnswer result{call.call.call, call.call.worker,
                       engines.at(call.call.worker.value()).Apply(call.call)};
   loads_applied += std::holds_alternative<LoadOrder>(call.call.order) && result.result.ok();
@@ -203,7 +203,7 @@
   }
 }
 
-void TestWorld::ApplyPlatformCall(const InFlightCall<PlatformCall>& call, bool answer) {
+void TestCluster::ApplyPlatformCall(const InFlightCall<PlatformCall>& call, bool answer) {
   PlatformAnswer result;
   result.call = call.call.call;
   result.owner = call.call.owner;
@@ -213,10 +213,10 @@
     result.value = std::monostate();
   }
   platform_answers_.push_back({call.node, call.instance, std::move(result)});
-  UpdateCeilings();
+  UpdateReplicaLimits();
 }
 
-void TestWorld::DeliverAnswer(const InFlightCall<EngineAnswer>& answer) {
+void TestCluster::DeliverAnswer(const InFlightCall<EngineAnswer>& answer) {
   Node& node = nodes_[answer.node];
   const auto keeper = node.keepers.find(answer.call.worker.value());
   if (answer.instance != node.instance || keeper == node.keepers.end()) {
@@ -227,14 +227,14 @@
   Collect(answer.node, &outbox);
 }
 
-void TestWorld::DeliverAnswer(const InFlightCall<PlatformAnswer>& answer) {
+void TestCluster::DeliverAnswer(const InFlightCall<PlatformAnswer>& answer) {
   Node& node = nodes_[answer.node];
   if (answer.instance == node.instance) {
     node.grants->HandleAnswer(answer.call, now_);
   }
 }
 
-void TestWorld::EditRow(std::uint32_t choice) {
+void TestCluster::EditRow(std::uint32_t choice) {
   const std::string model = kModels[choice % std::size(kModels)];
   const std::string key = RowKey(ModelName(model));
   const std::uint32_t limit = (choice / 3) % 4;
@@ -247,10 +247,10 @@
     }
     platform.Put(row, key);
   }
-  UpdateCeilings();
+  UpdateReplicaLimits();
 }
 
-void TestWorld::RequestLoad(std::uint32_t choice) {
+void TestCluster::RequestLoad(std::uint32_t choice) {
   const Node& node = nodes_[choice % kNodes];
   const ModelName model(kModels[(choice / 3) % std::size(kModels)]);
   const auto record = node.store->FindGrant(model);
@@ -264,7 +264,7 @@
   }
 }
 
-void TestWorld::FlipRunning(std::uint32_t choice) {
+void TestCluster::ToggleRunning(std::uint32_t choice) {
   TestEngine& engine = engines.at(kWorkers[choice % std::size(kWorkers)]);
   if (EngineReplica* replica = engine.Find(kModels[(choice / 3) % std::size(kModels)])) {
     replica->running = 1 - replica->running;
@@ -272,7 +272,7 @@
   }
 }
 
-void TestWorld::Step(std::uint32_t choice) {
+void TestCluster::Step(std::uint32_t choice) {
   const std::uint32_t action = choice % 64;
   const std::uint32_t detail = choice / 64;
   const bool faulty = options_.faults && (detail >> 16) % 5 == 0;
@@ -297,7 +297,7 @@
   } else if (action < 61) {
     RequestLoad(detail);
   } else if (action == 61) {
-    FlipRunning(detail);
+    ToggleRunning(detail);
   } else if (action == 62) {
     EditRow(detail);
   } else if (action == 63 && faulty) {
@@ -314,7 +314,7 @@
   }
 }
 
-void TestWorld::Settle() {
+void TestCluster::Settle() {
   settling_ = true;
   leaving_.clear();
   nodes_[1].keepers.clear();
@@ -348,7 +348,7 @@
   }
 }
 
-std::string TestWorld::Unsettled() const {
+std::string TestCluster::Unsettled() const {
   for (const Node& node : nodes_) {
     for (const auto& [worker, keeper] : node.keepers) {
       if (keeper->state() != KeeperState::kHolding) {
@@ -385,7 +385,7 @@
   return "";
 }
 
-std::uint32_t TestWorld::LoadedReplicas(const std::string& model) const {
+std::uint32_t TestCluster::LoadedReplicas(const std::string& model) const {
   std::uint32_t count = 0;
   for (const auto& [worker, engine] : engines) {
     count += static_cast<std::uint32_t>(engine.replicas().count(ModelName(model)));
@@ -393,27 +393,27 @@
   return count;
 }
 
-void TestWorld::UpdateCeilings() {
+void TestCluster::UpdateReplicaLimits() {
   for (const char* model : kModels) {
     const auto row = platform.Row(model);
     const auto record = platform.Grant(model);
     const std::uint32_t limit = row == nullptr ? 0 : row->max_replicas;
     const std::uint32_t slots =
         record == nullptr ? 0 : static_cast<std::uint32_t>(record->slots.size());
-    ceilings_[model] = std::max(limit, std::min(ceilings_[model], slots));
+    replica_limits_[model] = std::max(limit, std::min(replica_limits_[model], slots));
   }
 }
 
-std::string TestWorld::Violation() {
+std::string TestCluster::Violation() {
   for (const char* model : kModels) {
-    if (LoadedReplicas(model) > ceilings_[model]) {
+    if (LoadedReplicas(model) > replica_limits_[model]) {
       return absl::StrCat("I1: ", LoadedReplicas(model), " replicas of ", model, ", allowed ",
-                          ceilings_[model]);
+                          replica_limits_[model]);
     }
     if (const auto record = platform.Grant(model)) {
-      if (options_.check_records && record->slots.size() > ceilings_[model]) {
+      if (options_.check_records && record->slots.size() > replica_limits_[model]) {
         return absl::StrCat("I1: ", record->slots.size(), " slots of ", model, ", allowed ",
-                            ceilings_[model]);
+                            replica_limits_[model]);
       }
       if (record->next_generation < generations_[model]) {
         return absl::StrCat("the generation of ", model, " went back");
--- a/tests/placement/test_world.h
+++ b/tests/placement/test_world.h
@@ -1,6 +1,6 @@
-// Two zones, three nodes, three workers, a transactional platform and an unreliable network between
-// them, driven by a schedule of choices. Nodes 1 and 2 both believe that they place every model
-// and keep both workers of zone 1.
+// Simulates two zones, three nodes, three workers, a transactional platform and an unreliable
+// network between them, driven by a schedule of choices. Nodes 1 and 2 both believe that they place
+// every model, and both keep the workers of zone 1.
 #ifndef HINGESPAN_TESTS_PLACEMENT_TEST_WORLD_H_
 #define HINGESPAN_TESTS_PLACEMENT_TEST_WORLD_H_
 
@@ -19,7 +19,7 @@
 
 namespace hingespan {
 
-// The table service: every key's present value, and the order of changes.
+// Simulated table service: the current value of every key, and the order of changes.
 class TestPlatform {
  public:
   TransactionResult Commit(const Transaction& transaction);
@@ -38,28 +38,30 @@
   RecordStore store_;
 };
 
-struct WorldOptions {
+struct TestClusterOptions {
   GrantOptions grant;
   KeeperOptions keeper;
-  // Lost, doubled and late deliveries, restarts and edits.
+  // Enables lost, duplicated and late deliveries, restarts and edits.
   bool faults = true;
-  // Also look at the records that lead to a breach: ledgers against engines, slots against limits.
+  // Also checks the records whose inconsistency precedes a violation: ledgers against engines,
+  // slots against limits.
   bool check_records = true;
 };
 
-class TestWorld {
+class TestCluster {
  public:
-  explicit TestWorld(WorldOptions options);
+  explicit TestCluster(TestClusterOptions options);
 
-  // One step of the schedule; every choice is valid.
+  // Runs one step of the schedule; every choice is valid.
   void Step(std::uint32_t choice);
-  // Ends the faults and runs until everything that was begun should have ended.
+  // Ends the faults and runs until all started operations should have completed.
   void Settle();
-  // What is broken now, or empty.
+  // Returns a description of the current violation, or an empty string.
   std::string Violation();
-  // After Settle: what has not ended, or empty.
+  // To be called after Settle. Returns a description of an operation that has not completed, or an
+  // empty string.
   std::string Unsettled() const;
-  // Replicas over all engines, draining ones too.
+  // Returns the number of replicas over all engines, including draining ones.
   std::uint32_t LoadedReplicas(const std::string& model) const;
 
   TestPlatform platform;
@@ -98,12 +100,12 @@
   void DeliverAnswer(const InFlightCall<PlatformAnswer>& answer);
   void EditRow(std::uint32_t choice);
   void RequestLoad(std::uint32_t choice);
-  void FlipRunning(std::uint32_t choice);
+  void ToggleRunning(std::uint32_t choice);
   std::vector<GrantTarget> TargetsOf(const Node& node) const;
   std::size_t KeeperNode(const WorkerId& worker, std::uint32_t choice) const;
-  void UpdateCeilings();
+  void UpdateReplicaLimits();
 
-  WorldOptions options_;
+  TestClusterOptions options_;
   absl::Time now_ = absl::UnixEpoch();
   std::vector<Node> nodes_;
   std::vector<InFlightMessage> messages_;
@@ -112,8 +114,9 @@
   std::vector<InFlightCall<PlatformCall>> platform_calls_;
   std::vector<InFlightCall<PlatformAnswer>> platform_answers_;
   std::map<std::string, bool> leaving_;
-  // Replicas that may be loaded: the limit, or the slots left from a higher limit before.
-  std::map<std::string, std::uint32_t> ceilings_;
+  // Maximum number of replicas that may be loaded: the limit, or the slots left from an earlier,
+  // higher limit.
+  std::map<std::string, std::uint32_t> replica_limits_;
   std::map<std::string, GrantGeneration> generations_;
   std::uint64_t next_instance_ = 1;
   bool settling_ = false;
--- a/tests/placement/worker_keeper_reports_test.cc
+++ b/tests/placement/worker_keeper_reports_test.cc
@@ -1,4 +1,4 @@
-// What a keeper tells its zone, and when: reports on change, and what heartbeats confirm.
+// Tests when a keeper reports changes to its zone, and what heartbeats confirm.
 #include <doctest/doctest.h>
 
 #include "tests/placement/keeper_rig.h"
@@ -6,7 +6,7 @@
 namespace hingespan {
 namespace {
 
-// Keeps the worker, and the report of that has been sent and repeated.
+// The keeper holds the worker, and its report of that has been sent and repeated.
 struct SettledRig : Rig {
   SettledRig() {
     AddModel("m", 60);
@@ -14,7 +14,7 @@
     Idle(absl::Seconds(5));
     TakeSent<WorkerReport>();
   }
-  // Every status shows `load` running requests.
+  // Makes every status show `load` running requests.
   void Idle(absl::Duration duration) {
     for (const absl::Time end = now + duration; now < end;) {
       Tick();
@@ -43,7 +43,8 @@
   CHECK(heartbeat->incarnation == sent.incarnation);
 }
 
-TEST_CASE_FIXTURE(SettledRig, "a small load is reported exactly, a large one by quarters") {
+TEST_CASE_FIXTURE(SettledRig,
+                  "a small load is reported exactly, a large one when it changes by a quarter") {
   for (const std::uint32_t running : {1U, 2U, 7U, 0U, 40U}) {
     const std::vector<WorkerReport> sent = ReportsAtLoad(running);
     REQUIRE(sent.size() == 1);
@@ -55,7 +56,7 @@
   CHECK(ReportsAtLoad(38).size() == 1);
 }
 
-TEST_CASE_FIXTURE(SettledRig, "a load that swings is reported at most once an interval") {
+TEST_CASE_FIXTURE(SettledRig, "a fluctuating load is reported at most once per interval") {
   for (int swing = 0; swing < 40; ++swing) {
     load = swing % 2 == 0 ? 9 : 0;
     Idle(absl::Milliseconds(200));
@@ -63,7 +64,9 @@
   CHECK(TakeSent<WorkerReport>().size() <= 5);
 }
 
-TEST_CASE_FIXTURE(SettledRig, "a leave is reported at once and once more, with one sequence") {
+TEST_CASE_FIXTURE(
+    SettledRig,
+    "a leaving worker is reported at once and once more, with the same sequence number") {
   keeper.SetMachine({kWorker, ZoneId("z"), "http://e", MachineState::kLeaving});
   Tick(absl::Milliseconds(1));
   const std::vector<WorkerReport> first = TakeSent<WorkerReport>();
@@ -77,7 +80,7 @@
 }
 
 TEST_CASE_FIXTURE(SettledRig, "a new peer gets the report at once, the others do not") {
-  keeper.Tick({kPeer, NodeId("new")}, kPermits, now, &outbox);
+  keeper.Tick({kPeer, NodeId("new")}, kPermitHolder, now, &outbox);
   std::vector<NodeId> told;
   for (const OutgoingMessage& outgoing : outbox.messages) {
     if (std::holds_alternative<WorkerReport>(outgoing.message)) {
@@ -87,7 +90,7 @@
   CHECK(told == std::vector<NodeId>{NodeId("new")});
 }
 
-TEST_CASE_FIXTURE(SettledRig, "a heartbeat names the version that a lost update had") {
+TEST_CASE_FIXTURE(SettledRig, "a heartbeat carries the version of a lost update") {
   const ReplicaListVersion before = keeper.Heartbeat()->version;
   Load("m");
   Run();
@@ -102,7 +105,8 @@
   fence.order = FenceCall{held.epoch.Next(), held.incarnation};
   REQUIRE(engine.Apply(fence).ok());
   REQUIRE(keeper.Heartbeat());
-  // The next status, within a second, shows it; after a wait the keeper would fence again.
+  // The next status, within a second, shows the takeover; the keeper would fence again only after
+  // the backoff.
   for (int tick = 0; tick < 11 && keeper.state() != KeeperState::kFenced; ++tick) {
     Idle(absl::Milliseconds(100));
   }
--- a/tests/placement/worker_keeper_test.cc
+++ b/tests/placement/worker_keeper_test.cc
@@ -1,4 +1,5 @@
-// One worker's keeper against an engine: lost, late and doubled orders, a paused rival, restarts.
+// Tests one worker's keeper against an engine: lost, late and duplicated orders, a paused competing
+// keeper, restarts.
 #include "hingespan/placement/worker_keeper.h"
 
 #include <doctest/doctest.h>
@@ -10,7 +11,7 @@
 #include "tests/placement/keeper_rig.h"
 
 namespace hingespan {
-TEST_CASE("a load is announced, loaded once however often it is asked, and becomes ready") {
+TEST_CASE("a load is announced, ordered once for repeated requests, and becomes ready") {
   Rig rig;
   rig.AddModel("m", 50);
   CHECK(rig.Load("m").outcome == LoadOutcome::kNotKeeper);
@@ -41,7 +42,7 @@
   rig.Answer(late, Error::kTimeout);
   rig.now += absl::Seconds(20);
   rig.Tick();
-  // The first order has not reached the engine yet, but it still may.
+  // The first order has not reached the engine yet, but may still do so.
   for (const EngineCall& call : rig.TakeCalls()) {
     if (std::holds_alternative<StatusCall>(call.order)) {
       rig.Answer(call, rig.engine.Apply(call));
@@ -51,7 +52,7 @@
   CHECK(rig.engine.Apply(late).ok());
   CHECK(rig.engine.used_mib() == 60);
   CHECK(rig.keeper.ledger().charged_mib() == 60);
-  // A later order settles it; a copy of the first is void from then on.
+  // A later order settles the state; a copy of the first one is void from then on.
   rig.Run(200);
   CHECK(rig.keeper.ledger().charged_mib() == rig.engine.used_mib());
   CHECK(!rig.engine.Apply(late).ok());
@@ -84,7 +85,7 @@
 }
 
 TEST_CASE(
-    "a slot without a replica is revoked at the engine too, and an ended incarnation at once") {
+    "a slot without a replica is revoked at the engine too, one of an ended incarnation at once") {
   Rig rig;
   rig.AddModel("m", 60);
   rig.Run();
@@ -101,7 +102,8 @@
   CHECK(!rig.Revoke("m", 9, 2));
 }
 
-TEST_CASE("a paused keeper's orders are refused, and it fences again only after a growing wait") {
+TEST_CASE(
+    "a paused keeper's orders are refused, and it fences again only after a growing backoff") {
   Rig first;
   first.AddModel("m", 60);
   first.Run();
@@ -141,7 +143,7 @@
   CHECK(rig.Load("m", 9, 2).outcome == LoadOutcome::kAccepted);
 }
 
-TEST_CASE("idle replicas make room; running and pinned ones do not") {
+TEST_CASE("idle replicas are evicted to make room; running and pinned ones are not") {
   Rig rig;
   rig.AddModel("a", 60);
   rig.AddModel("b", 60);
@@ -168,7 +170,7 @@
   CHECK(rig.engine.overcommits() == 0);
 }
 
-TEST_CASE("a base makes room together with the idle adapters on it") {
+TEST_CASE("a base is evicted together with the idle adapters on it") {
   Rig rig;
   rig.AddModel("base", 60);
   rig.AddModel("adapter", 10, "base");
@@ -230,7 +232,7 @@
   const auto note = [&] {
     for (const OutgoingMessage& outgoing : std::exchange(rig.outbox.messages, {})) {
       if (const auto* request = std::get_if<PermitRequest>(&outgoing.message)) {
-        CHECK(outgoing.to == kPermits);
+        CHECK(outgoing.to == kPermitHolder);
         releases.push_back(request->release);
         CHECK((number == 0 || number == request->number));
         number = request->number;
@@ -239,7 +241,7 @@
   };
   note();
   CHECK(releases == std::vector<bool>{false, false, false});
-  // A late answer to an earlier request is no permit for this one.
+  // A late answer to an earlier request does not grant this one.
   rig.keeper.HandlePermit({kWorker, ModelName("m"), number - 1, true, 0}, rig.now, &rig.outbox);
   CHECK(Only<LoadOrder>(rig.outbox.engine_calls).empty());
   rig.outbox.messages.clear();
@@ -250,8 +252,7 @@
   CHECK(releases == std::vector<bool>{false, false, false, true});
 }
 
-TEST_CASE(
-    "a permit that comes too late to be used is asked for anew, and one not awaited returned") {
+TEST_CASE("a permit granted too late is requested again, and an unexpected one is returned") {
   KeeperOptions options = EagerOptions();
   options.use_permits = true;
   Rig rig(options);
