--- a/include/hingespan/grant/grant_manager.h
+++ b/include/hingespan/grant/grant_manager.h
@@ -1,5 +1,6 @@
-// A placer's half of grants: keeps each model's slots in this zone at the zone's share of the row's
-// limit, on live workers. Writes the platform only for moves, limits and dead workers.
+// The placer's part in grants: keeps the number of each model's slots in this zone at the zone's
+// share of the row's limit, on live workers. Writes to the platform only to move slots, apply
+// limits and replace dead workers.
 #ifndef HINGESPAN_GRANT_GRANT_MANAGER_H_
 #define HINGESPAN_GRANT_GRANT_MANAGER_H_
 
@@ -23,14 +24,14 @@
 namespace hingespan {
 
 struct GrantOptions {
-  // Transactions in flight at once, and the least time between two, at one node.
+  // Maximum number of transactions in flight, and minimum time between two, at one node.
   int maximum_outstanding = 4;
   absl::Duration minimum_interval = absl::Milliseconds(5);
-  // Wait after a conflict or an error; doubles up to ten times.
+  // Backoff after a conflict or an error; doubles up to ten times this value.
   absl::Duration retry_after = absl::Milliseconds(200);
-  // Revocations are asked of the keeper again after this long.
+  // A revocation that the keeper has not confirmed is sent again after this time.
   absl::Duration revoke_interval = absl::Milliseconds(500);
-  // For tests only: ignore the row's limit.
+  // For tests only: ignores the row's limit.
   bool disable_limit_for_test = false;
 };
 
@@ -40,27 +41,28 @@
   GrantManager(NodeId self, ZoneId zone, std::vector<ZoneId> zones, GrantOptions options,
                const RecordStore* store);
 
-  // The model's row or grant record changed, or it came to this node: look at it again, and at this
-  // node's adapters of it.
+  // Marks a model for planning, and this node's adapters of it. To be called when the model's row
+  // or grant record changed, or when this node became its placer.
   void MarkDirty(const ModelName& model);
-  // The members changed: forgets rows that went to others. Rows that came are to be marked.
+  // Forgets the rows that other nodes place after a change of the members. Rows that this node now
+  // places must be marked by the caller.
   void ForgetLost(const std::function<bool(const ModelName&)>& is_mine);
-  // Looks at dirty models that `is_mine` says this node places, a bounded number at once; writes
-  // within the rate. A changed target marks the rows with a slot on it, and one that has room those
-  // short of slots.
-  // `keeper_of` names the node to ask for revocations.
+  // Plans for dirty models for which `is_mine` returns true, a bounded number per call, and writes
+  // within the rate limit. A changed target marks the rows with a slot on it; a target with room
+  // marks the rows that are short of slots. `keeper_of` returns the node to which revocations are
+  // sent.
   void Tick(const std::vector<GrantTarget>& targets,
             const std::function<bool(const ModelName&)>& is_mine,
             const std::function<NodeId(const WorkerId&)>& keeper_of, absl::Time now,
             Outbox* outbox);
   void HandleAnswer(const PlatformAnswer& answer, absl::Time now);
   void HandleRevokeReply(const RevokeReply& reply, absl::Time now);
-  // Plans made since the start: what a change costs.
+  // Number of plans made since the start, a measure of the cost of a change.
   std::uint64_t plans() const { return plans_; }
   bool idle() const { return dirty_.empty(); }
 
  private:
-  // What is to be written next for a model, if anything.
+  // The next record to write for a model, if any.
   struct Plan {
     std::optional<GrantRecord> record;
     bool short_of_slots = false;
@@ -73,29 +75,29 @@
     ModelName model;
     absl::Time sent_at;
   };
-  // A committed write that has not come back through the store yet.
-  struct Awaited {
+  // A committed write that the store has not received back yet.
+  struct PendingCommit {
     TableRevision revision;
     absl::Time until;
   };
 
-  // Returns whether nothing is left to do for the model.
-  bool Look(const ModelName& model, const std::vector<GrantTarget>& targets, absl::Time now,
-            Outbox* outbox);
+  // Plans for a dirty model. Returns whether nothing is left to do for it.
+  bool PlanAndWrite(const ModelName& model, const std::vector<GrantTarget>& targets, absl::Time now,
+                    Outbox* outbox);
   Plan PlanFor(const ModelName& model, const std::vector<GrantTarget>& targets) const;
-  void Index(const ModelName& model, bool short_of_slots);
+  void UpdateIndex(const ModelName& model, bool short_of_slots);
   std::optional<absl::flat_hash_set<WorkerId>> BaseWorkers(const ModelRow& row) const;
-  void AskRevocations(const ModelName& model, const std::vector<GrantTarget>& targets,
-                      const std::function<NodeId(const WorkerId&)>& keeper_of, absl::Time now,
-                      Outbox* outbox);
+  void RequestRevocations(const ModelName& model, const std::vector<GrantTarget>& targets,
+                          const std::function<NodeId(const WorkerId&)>& keeper_of, absl::Time now,
+                          Outbox* outbox);
   bool HasRevokingSlots(const ModelName& model) const;
   bool MayWrite(const ModelName& model, absl::Time now);
   // Spec action: WriteKeys (table).
   void Write(const GrantRecord& record, absl::Time now, Outbox* outbox);
   void ScheduleRetry(const ModelName& model, absl::Time now);
   void ExpireOutstanding(absl::Time now);
-  void NoteTargets(const std::vector<GrantTarget>& targets);
-  bool WritesUsedUp(absl::Time now) const;
+  void UpdateTargets(const std::vector<GrantTarget>& targets);
+  bool IsWriteLimitReached(absl::Time now) const;
   void ForgetConfirmations(const ModelName& model);
 
   NodeId self_;
@@ -104,14 +106,14 @@
   GrantOptions options_;
   const RecordStore* store_;
   absl::btree_set<ModelName> dirty_;
-  // Where the next Tick goes on in `dirty_`.
+  // Position in `dirty_` at which the next Tick continues.
   ModelName cursor_;
   SlotIndex index_;
   std::uint64_t plans_ = 0;
   std::vector<GrantTarget> known_targets_;
   absl::flat_hash_map<ModelName, Retry> retries_;
-  absl::flat_hash_map<ModelName, Awaited> awaited_;
-  // Revocations confirmed by keepers, by model: slots of these generations may be removed.
+  absl::flat_hash_map<ModelName, PendingCommit> pending_commits_;
+  // Revocations confirmed by keepers, by model. Slots of these generations may be removed.
   absl::flat_hash_map<ModelName, absl::flat_hash_set<GrantGeneration>> confirmed_;
   absl::flat_hash_map<ModelName, absl::Time> next_revoke_;
   absl::flat_hash_map<std::uint64_t, Outstanding> outstanding_;
--- a/include/hingespan/grant/pinned_slots.h
+++ b/include/hingespan/grant/pinned_slots.h
@@ -1,5 +1,5 @@
-// Which granted slots a row's min_replicas keeps loaded. Placers and keepers come to the same
-// answer from the same row and grant record.
+// Selects the granted slots that a row's min_replicas keeps loaded. Placers and keepers compute the
+// same result from the same row and grant record.
 #ifndef HINGESPAN_GRANT_PINNED_SLOTS_H_
 #define HINGESPAN_GRANT_PINNED_SLOTS_H_
 
@@ -9,8 +9,8 @@
 
 namespace hingespan {
 
-// The oldest granted slots, min_replicas of them at most, divided over the zones that have slots by
-// the row's weights.
+// Returns the oldest granted slots, at most min_replicas of them, divided by the row's weights over
+// the zones that have slots.
 std::vector<GrantSlot> PinnedSlots(const ModelRow& row, const GrantRecord& record);
 
 }  // namespace hingespan
--- a/include/hingespan/grant/slot_index.h
+++ b/include/hingespan/grant/slot_index.h
@@ -1,4 +1,5 @@
-// The rows that a node places, by what a change elsewhere may mean for them.
+// Index of the rows that a node places, which finds the rows that a change of a worker or of
+// another row may affect.
 #ifndef HINGESPAN_GRANT_SLOT_INDEX_H_
 #define HINGESPAN_GRANT_SLOT_INDEX_H_
 
@@ -18,19 +19,19 @@
   struct Entry {
     // Workers that hold a slot of the row in this zone.
     std::vector<WorkerId> workers;
-    // An adapter's base; else empty.
+    // An adapter's base; empty for other rows.
     ModelName base;
-    // The row may have one more slot, but no worker was suitable.
+    // True if the row may have one more slot, but no worker was suitable.
     bool short_of_slots = false;
   };
 
-  // Replaces what is known of the row.
+  // Replaces the entry of the row.
   void Set(const ModelName& model, Entry entry);
   void Erase(const ModelName& model);
   void EraseUnless(const std::function<bool(const ModelName&)>& keep);
 
   void ForEachOnWorker(const WorkerId& worker, const Visitor& visit) const;
-  void ForEachShort(const Visitor& visit) const;
+  void ForEachShortOfSlots(const Visitor& visit) const;
   void ForEachAdapterOf(const ModelName& base, const Visitor& visit) const;
 
  private:
@@ -39,7 +40,7 @@
   absl::flat_hash_map<ModelName, Entry> entries_;
   absl::flat_hash_map<WorkerId, Models> on_worker_;
   absl::flat_hash_map<ModelName, Models> adapters_;
-  Models short_;
+  Models short_of_slots_;
 };
 
 }  // namespace hingespan
--- a/src/grant/grant_manager.cc
+++ b/src/grant/grant_manager.cc
@@ -11,16 +11,18 @@
 namespace hingespan {
 namespace {
 
-// A transaction without an answer for this long is given up; its effect shows in the store.
+// A transaction without an answer for this long is abandoned; the store shows whether it took
+// effect.
 constexpr absl::Duration kCallTimeout = absl::Seconds(10);
-// A committed write is waited for this long before the store is believed without it.
-constexpr absl::Duration kAwaitCommitted = absl::Seconds(10);
-// Longest retry wait, as a multiple of GrantOptions::retry_after.
+// Time to wait for a committed write to appear in the store. After that, the store's state is used
+// without it.
+constexpr absl::Duration kCommitVisibleTimeout = absl::Seconds(10);
+// Maximum backoff, as a multiple of GrantOptions::retry_after.
 constexpr int kLongestRetryFactor = 10;
-// Work of one Tick: passing over a dirty model counts 1, planning for one counts so many more.
+// Work limit of one Tick. Skipping a dirty model costs 1, planning for one costs kWorkPerPlan more.
 constexpr int kWorkPerTick = 512;
-constexpr int kWorkOfPlan = 15;
-// Unused write permissions that may be made up for in one Tick.
+constexpr int kWorkPerPlan = 15;
+// Maximum number of unused write permissions that one Tick may use in a burst.
 constexpr int kWriteBurst = 4;
 
 const GrantTarget* FindTarget(const std::vector<GrantTarget>& targets, const WorkerId& worker) {
@@ -54,7 +56,7 @@
                         const std::function<NodeId(const WorkerId&)>& keeper_of, absl::Time now,
                         Outbox* outbox) {
   ExpireOutstanding(now);
-  NoteTargets(targets);
+  UpdateTargets(targets);
   auto next = dirty_.lower_bound(cursor_);
   int work = 0;
   for (std::size_t left = dirty_.size(); left > 0 && work < kWorkPerTick; --left) {
@@ -68,22 +70,22 @@
       next = dirty_.erase(next);
       continue;
     }
-    AskRevocations(model, targets, keeper_of, now, outbox);
-    if (WritesUsedUp(now) || !MayWrite(model, now)) {
+    RequestRevocations(model, targets, keeper_of, now, outbox);
+    if (IsWriteLimitReached(now) || !MayWrite(model, now)) {
       ++next;
       continue;
     }
-    work += kWorkOfPlan;
-    next = Look(model, targets, now, outbox) ? dirty_.erase(next) : std::next(next);
+    work += kWorkPerPlan;
+    next = PlanAndWrite(model, targets, now, outbox) ? dirty_.erase(next) : std::next(next);
   }
   cursor_ = next == dirty_.end() ? ModelName() : *next;
 }
 
-bool GrantManager::Look(const ModelName& model, const std::vector<GrantTarget>& targets,
-                        absl::Time now, Outbox* outbox) {
+bool GrantManager::PlanAndWrite(const ModelName& model, const std::vector<GrantTarget>& targets,
+                                absl::Time now, Outbox* outbox) {
   ++plans_;
   const Plan plan = PlanFor(model, targets);
-  Index(model, plan.short_of_slots);
+  UpdateIndex(model, plan.short_of_slots);
   if (plan.record) {
     Write(*plan.record, now, outbox);
     return false;
@@ -107,15 +109,16 @@
   const auto* result = std::get_if<TransactionResult>(&answer.value);
   const bool committed = !answer.error && result != nullptr && result->committed;
   if (!committed) {
-    // Lost answers too: what the write did shows in the record that the store receives.
+    // This includes lost answers: the record that the store receives shows whether the write took
+    // effect.
     ScheduleRetry(model, now);
     return;
   }
   retries_.erase(model);
-  awaited_[model] = Awaited{result->revision, now + kAwaitCommitted};
+  pending_commits_[model] = PendingCommit{result->revision, now + kCommitVisibleTimeout};
 }
 
-// Spec action: FinishRevoke begins here; the slot is removed by the next write.
+// Spec action: FinishRevoke begins here; the next write removes the slot.
 void GrantManager::HandleRevokeReply(const RevokeReply& reply, absl::Time) {
   const auto record = store_->FindGrant(reply.model);
   if (!reply.confirmed || record == nullptr) {
@@ -166,7 +169,7 @@
   return plan;
 }
 
-void GrantManager::Index(const ModelName& model, bool short_of_slots) {
+void GrantManager::UpdateIndex(const ModelName& model, bool short_of_slots) {
   const auto row = store_->FindRow(model);
   const auto record = store_->FindGrant(model);
   SlotIndex::Entry entry;
@@ -199,9 +202,10 @@
   return workers;
 }
 
-void GrantManager::AskRevocations(const ModelName& model, const std::vector<GrantTarget>& targets,
-                                  const std::function<NodeId(const WorkerId&)>& keeper_of,
-                                  absl::Time now, Outbox* outbox) {
+void GrantManager::RequestRevocations(const ModelName& model,
+                                      const std::vector<GrantTarget>& targets,
+                                      const std::function<NodeId(const WorkerId&)>& keeper_of,
+                                      absl::Time now, Outbox* outbox) {
   const auto record = store_->FindGrant(model);
   if (record == nullptr || !HasRevokingSlots(model)) {
     next_revoke_.erase(model);
@@ -235,7 +239,7 @@
   });
 }
 
-bool GrantManager::WritesUsedUp(absl::Time now) const {
+bool GrantManager::IsWriteLimitReached(absl::Time now) const {
   const bool all_busy =
       outstanding_.size() >= static_cast<std::size_t>(options_.maximum_outstanding);
   return all_busy || now < next_write_;
@@ -249,20 +253,21 @@
   if (retry != retries_.end() && now < retry->second.not_before) {
     return false;
   }
-  const auto awaited = awaited_.find(model);
-  if (awaited == awaited_.end()) {
+  const auto pending = pending_commits_.find(model);
+  if (pending == pending_commits_.end()) {
     return true;
   }
-  const bool arrived = store_->RevisionOf(GrantKey(model)) >= awaited->second.revision;
-  if (!arrived && now < awaited->second.until) {
+  const bool arrived = store_->RevisionOf(GrantKey(model)) >= pending->second.revision;
+  if (!arrived && now < pending->second.until) {
     return false;
   }
-  awaited_.erase(awaited);
+  pending_commits_.erase(pending);
   return true;
 }
 
-// Spec actions: Grant, BeginRevoke, FinishRevoke, Regrant. The preconditions hold the record to the
-// very row and grants that it was planned from, whoever else writes and however late it arrives.
+// Spec actions: Grant, BeginRevoke, FinishRevoke, Regrant. The preconditions tie the record to the
+// exact versions of the row and the grants from which it was planned, even if others write too or
+// the call arrives late.
 void GrantManager::Write(const GrantRecord& record, absl::Time now, Outbox* outbox) {
   const std::string row_key = RowKey(record.model);
   const std::string grant_key = GrantKey(record.model);
@@ -305,7 +310,7 @@
   }
 }
 
-void GrantManager::NoteTargets(const std::vector<GrantTarget>& targets) {
+void GrantManager::UpdateTargets(const std::vector<GrantTarget>& targets) {
   if (targets == known_targets_) {
     return;
   }
@@ -324,7 +329,7 @@
     }
   }
   if (has_room) {
-    index_.ForEachShort(mark);
+    index_.ForEachShortOfSlots(mark);
   }
   known_targets_ = targets;
 }
@@ -332,7 +337,7 @@
 void GrantManager::ForgetConfirmations(const ModelName& model) {
   confirmed_.erase(model);
   retries_.erase(model);
-  awaited_.erase(model);
+  pending_commits_.erase(model);
 }
 
 }  // namespace hingespan
--- a/src/grant/grant_plan.cc
+++ b/src/grant/grant_plan.cc
@@ -22,7 +22,7 @@
   return generation;
 }
 
-// Whether new work may go to the worker, as far as the row, its base and the worker are concerned.
+// Returns whether the row, its base and the worker's state allow new work on the worker.
 bool IsSuitable(const GrantPlanInput& input, const GrantTarget& target) {
   if (input.row == nullptr || target.leaving || target.gone) {
     return false;
@@ -38,14 +38,15 @@
   return target.gone || target.incarnation > slot.incarnation;
 }
 
-std::uint32_t CountZone(const GrantPlanInput& input, const GrantRecord& record) {
+std::uint32_t CountSlotsInZone(const GrantPlanInput& input, const GrantRecord& record) {
   const auto in_zone = [&](const GrantSlot& slot) { return slot.zone == input.zone; };
   return static_cast<std::uint32_t>(
       std::count_if(record.slots.begin(), record.slots.end(), in_zone));
 }
 
-// A slot is free when its revocation is confirmed or its incarnation has ended. A worker that is
-// unknown or can't be reached keeps its slots. Spec action: FinishRevoke.
+// A slot is free if its revocation is confirmed or its incarnation has ended. A worker that is
+// unknown or unreachable keeps its slots.
+// Spec action: FinishRevoke.
 bool IsFree(const GrantPlanInput& input, const GrantSlot& slot) {
   if (slot.zone != input.zone) {
     return false;
@@ -57,15 +58,16 @@
   return target != nullptr && IsIncarnationEnded(slot, *target);
 }
 
-// A free slot of a restarted worker goes straight to the new incarnation. Spec action: Regrant.
+// Grants a free slot of a restarted worker directly to the new incarnation.
+// Spec action: Regrant.
 bool RegrantSlot(const GrantPlanInput& input, GrantRecord* record, GrantSlot* slot) {
   const GrantTarget* target = FindTarget(input, slot->worker);
   const bool was_granted = slot->state == SlotState::kGranted;
   if (!was_granted || target == nullptr || !IsSuitable(input, *target)) {
     return false;
   }
-  const bool within_limits =
-      record->slots.size() <= input.total_limit && CountZone(input, *record) <= input.zone_limit;
+  const bool within_limits = record->slots.size() <= input.total_limit &&
+                             CountSlotsInZone(input, *record) <= input.zone_limit;
   if (!within_limits) {
     return false;
   }
@@ -93,26 +95,26 @@
   slot->generation = TakeGeneration(record);
 }
 
-bool MustMove(const GrantPlanInput& input, const GrantSlot& slot) {
+bool MustRevoke(const GrantPlanInput& input, const GrantSlot& slot) {
   const GrantTarget* target = FindTarget(input, slot.worker);
   const bool row_deleted = input.row == nullptr;
   return row_deleted || (target != nullptr && !IsSuitable(input, *target));
 }
 
-// Spec action: BeginRevoke, of all slots that have to go.
+// Spec action: BeginRevoke, of all slots that must be assigned up.
 void BeginRevokes(const GrantPlanInput& input, GrantRecord* record) {
   std::vector<GrantSlot*> kept;
   for (GrantSlot& slot : record->slots) {
     if (slot.zone != input.zone || slot.state != SlotState::kGranted) {
       continue;
     }
-    if (MustMove(input, slot)) {
+    if (MustRevoke(input, slot)) {
       BeginRevoke(record, &slot);
     } else {
       kept.push_back(&slot);
     }
   }
-  // The newest go first; min_replicas pins the oldest.
+  // The newest slots are revoked first, as min_replicas pins the oldest.
   std::sort(kept.begin(), kept.end(), [](const GrantSlot* left, const GrantSlot* right) {
     return left->generation < right->generation;
   });
@@ -121,7 +123,7 @@
   }
 }
 
-// Spec action: Grant. Slots that are being revoked count until they are gone.
+// Spec action: Grant. Slots that are being revoked count until they are removed.
 void AddSlots(const GrantPlanInput& input, GrantRecord* record) {
   if (input.row == nullptr) {
     return;
@@ -166,7 +168,8 @@
 }
 
 bool IsShortOfSlots(const GrantPlanInput& input, const GrantRecord& record) {
-  return record.slots.size() < input.total_limit && CountZone(input, record) < input.zone_limit;
+  return record.slots.size() < input.total_limit &&
+         CountSlotsInZone(input, record) < input.zone_limit;
 }
 
 GrantRecord PlanGrants(const GrantPlanInput& input) {
--- a/src/grant/quota.cc
+++ b/src/grant/quota.cc
@@ -14,7 +14,7 @@
   std::uint64_t score = 0;
 };
 
-bool ReceivesRestBefore(const ZoneShare& left, const ZoneShare& right) {
+bool PrecedesInRemainder(const ZoneShare& left, const ZoneShare& right) {
   if (left.remainder != right.remainder) {
     return left.remainder > right.remainder;
   }
@@ -48,7 +48,7 @@
     return quotas;
   }
   std::vector<ZoneShare> shares;
-  std::uint32_t given = 0;
+  std::uint32_t assigned = 0;
   const RendezvousKey key(row.name.value());
   for (const ZoneId& zone : zones) {
     const std::uint64_t product = std::uint64_t{total} * WeightOf(row, zone);
@@ -57,15 +57,15 @@
     share.quota = static_cast<std::uint32_t>(product / weight_sum);
     share.remainder = product % weight_sum;
     share.score = key.Score(zone.value());
-    given += share.quota;
+    assigned += share.quota;
     shares.push_back(std::move(share));
   }
-  // The rest is smaller than the number of zones with a remainder above 0.
-  std::sort(shares.begin(), shares.end(), ReceivesRestBefore);
+  // The rest to distribute is smaller than the number of zones with a remainder above 0.
+  std::sort(shares.begin(), shares.end(), PrecedesInRemainder);
   for (ZoneShare& share : shares) {
-    if (given < total) {
+    if (assigned < total) {
       ++share.quota;
-      ++given;
+      ++assigned;
     }
     quotas[share.zone] = share.quota;
   }
--- a/src/grant/slot_index.cc
+++ b/src/grant/slot_index.cc
@@ -41,7 +41,7 @@
     adapters_[entry.base].insert(model);
   }
   if (entry.short_of_slots) {
-    short_.insert(model);
+    short_of_slots_.insert(model);
   }
   entries_.emplace(model, std::move(entry));
 }
@@ -55,7 +55,7 @@
     EraseFrom(&on_worker_, worker, model);
   }
   EraseFrom(&adapters_, entry->second.base, model);
-  short_.erase(model);
+  short_of_slots_.erase(model);
   entries_.erase(entry);
 }
 
@@ -75,8 +75,8 @@
   Visit(on_worker_, worker, visit);
 }
 
-void SlotIndex::ForEachShort(const Visitor& visit) const {
-  for (const ModelName& model : short_) {
+void SlotIndex::ForEachShortOfSlots(const Visitor& visit) const {
+  for (const ModelName& model : short_of_slots_) {
     visit(model);
   }
 }
--- a/tests/grant/grant_manager_test.cc
+++ b/tests/grant/grant_manager_test.cc
@@ -1,4 +1,4 @@
-// Which rows a grant manager looks at when workers and rows change.
+// Tests for which rows a grant manager plans when workers and rows change.
 #include "hingespan/grant/grant_manager.h"
 
 #include <doctest/doctest.h>
@@ -12,7 +12,7 @@
 namespace hingespan {
 namespace {
 
-const ZoneId kHere("z1");
+const ZoneId kLocalZone("z1");
 constexpr int kRows = 300;
 constexpr int kShortRows = 5;
 constexpr int kWorkers = 10;
@@ -25,10 +25,10 @@
   return targets;
 }
 
-// A grant manager before a platform that takes every write.
+// A grant manager with a platform that accepts every write.
 struct Rig {
   RecordStore store;
-  GrantManager grants{NodeId("n"), kHere, {kHere}, GrantOptions(), &store};
+  GrantManager grants{NodeId("n"), kLocalZone, {kLocalZone}, GrantOptions(), &store};
   std::vector<GrantTarget> targets = Workers(kWorkers);
   absl::Time now = absl::UnixEpoch();
 
@@ -63,7 +63,7 @@
           {call.call, CallOwner::kGrants, {}, TransactionResult{true, store.revision(), {}}}, now);
     }
   }
-  // Plans made until nothing is left to do.
+  // Runs until nothing is left to do and returns the number of plans made.
   std::uint64_t Settle() {
     const std::uint64_t before = grants.plans();
     for (int tick = 0; tick < 2000; ++tick) {
@@ -88,7 +88,7 @@
 
 }  // namespace
 
-TEST_CASE("a change of a worker looks only at the rows that it can mean something for") {
+TEST_CASE("a change of a worker causes planning only for rows that it may affect") {
   Rig rig;
   for (int index = 0; index < kRows; ++index) {
     rig.PutRow("m" + std::to_string(index), 1);
@@ -100,22 +100,22 @@
   const std::uint64_t on_first = rig.SlotsOn("w1");
   REQUIRE(on_first > kShortRows);
 
-  // Each row on it is planned for, written, and found to be done.
+  // Each row on the worker is planned for, written, and found to be complete.
   rig.targets[0].gone = true;
   CHECK(rig.Settle() <= 2 * on_first);
   CHECK(rig.SlotsOn("w1") == 0);
-  // A new worker: only rows that are short of slots.
+  // A new worker causes planning only for rows that are short of slots.
   rig.targets.push_back({WorkerId("new"), WorkerIncarnation(1), 100});
   CHECK(rig.Settle() <= 2 * kShortRows);
   CHECK(rig.SlotsOn("new") == kShortRows);
-  // A restarted one: the rows on it, and those short of slots.
+  // A restarted worker causes planning for the rows on it and those short of slots.
   rig.targets[1].incarnation = WorkerIncarnation(2);
   CHECK(rig.Settle() <= 2 * rig.SlotsOn("w2") + kShortRows);
-  // Nothing changes.
+  // Nothing has changed.
   CHECK(rig.Settle() == 0);
 }
 
-TEST_CASE("a worker that stays after all gets slots again") {
+TEST_CASE("a worker that is no longer leaving gets slots again") {
   Rig rig;
   rig.targets.resize(1);
   rig.PutRow("m", 1);
@@ -127,7 +127,7 @@
   CHECK(rig.SlotsOn("w1") == 1);
 }
 
-TEST_CASE("an adapter gets its slots once its base has some") {
+TEST_CASE("an adapter gets slots once its base has some") {
   Rig rig;
   std::vector<GrantTarget> workers;
   workers.swap(rig.targets);
--- a/tests/grant/grant_test.cc
+++ b/tests/grant/grant_test.cc
@@ -1,4 +1,4 @@
-// Quotas and plans of one zone's grants, and the grant manager's calls.
+// Tests of one zone's quotas and grant plans, and of the grant manager's calls.
 #include <doctest/doctest.h>
 
 #include <map>
@@ -14,8 +14,8 @@
 namespace hingespan {
 namespace {
 
-const ZoneId kHere("z1");
-const ZoneId kThere("z2");
+const ZoneId kLocalZone("z1");
+const ZoneId kOtherZone("z2");
 const absl::Time kStart = absl::UnixEpoch();
 
 ModelRow Row(const std::string& name, std::uint32_t limit) {
@@ -26,7 +26,8 @@
   return row;
 }
 
-GrantSlot Slot(const std::string& worker, std::uint64_t generation, const ZoneId& zone = kHere) {
+GrantSlot Slot(const std::string& worker, std::uint64_t generation,
+               const ZoneId& zone = kLocalZone) {
   return {WorkerId(worker), WorkerIncarnation(1), zone, GrantGeneration(generation),
           SlotState::kGranted};
 }
@@ -46,13 +47,13 @@
   Plan() {
     input.row = &row;
     input.targets = &targets;
-    input.zone = kHere;
+    input.zone = kLocalZone;
     input.zone_limit = 2;
     input.total_limit = 2;
     input.record.model = row.name;
     input.is_confirmed = [](const GrantSlot&) { return false; };
   }
-  void Hold(std::vector<GrantSlot> slots) {
+  void SetSlots(std::vector<GrantSlot> slots) {
     input.record.slots = std::move(slots);
     input.record.next_generation = GrantGeneration(10);
   }
@@ -61,15 +62,15 @@
 }  // namespace
 
 TEST_CASE("quotas add up, follow the weights and spread single replicas over zones") {
-  const std::vector<ZoneId> zones = {kHere, kThere, ZoneId("z3")};
+  const std::vector<ZoneId> zones = {kLocalZone, kOtherZone, ZoneId("z3")};
   ModelRow row = Row("m", 7);
-  row.weights = {{kHere, 70}, {kThere, 30}};
+  row.weights = {{kLocalZone, 70}, {kOtherZone, 30}};
   auto quotas = DivideByWeight(row, 7, zones);
-  CHECK(quotas[kHere] == 5);
-  CHECK(quotas[kThere] == 2);
+  CHECK(quotas[kLocalZone] == 5);
+  CHECK(quotas[kOtherZone] == 2);
   CHECK(quotas[zones[2]] == 0);
-  row.weights = {{kHere, 0}};
-  CHECK(DivideByWeight(row, 7, zones)[kHere] == 0);
+  row.weights = {{kLocalZone, 0}};
+  CHECK(DivideByWeight(row, 7, zones)[kLocalZone] == 0);
   std::map<ZoneId, std::uint32_t> sums;
   for (int index = 0; index < 300; ++index) {
     std::uint32_t total = 0;
@@ -86,17 +87,17 @@
 }
 
 TEST_CASE("an adapter's replicas are divided among the zones where its base may have some") {
-  const std::vector<ZoneId> zones = {kHere, kThere, ZoneId("z3")};
+  const std::vector<ZoneId> zones = {kLocalZone, kOtherZone, ZoneId("z3")};
   RecordStore store;
   ModelRow base = Row("base", 2);
-  base.weights = {{kHere, 1}, {kThere, 1}};
+  base.weights = {{kLocalZone, 1}, {kOtherZone, 1}};
   store.Apply(TableRevision(), TableRevision(1), {{RowKey(base.name), TableRevision(1), base}});
   for (int index = 0; index < 100; ++index) {
     ModelRow adapter = Row("a" + std::to_string(index), 1);
     adapter.kind = RowKind::kAdapter;
     adapter.base = base.name;
     auto quotas = DivideReplicas(store, adapter, zones);
-    CHECK(quotas[kHere] + quotas[kThere] == 1);
+    CHECK(quotas[kLocalZone] + quotas[kOtherZone] == 1);
     CHECK(quotas.at(zones[2]) == 0);
   }
   ModelRow elsewhere = Row("elsewhere", 1);
@@ -110,7 +111,8 @@
   ModelRow row = Row("m", 4);
   row.min_replicas = 2;
   GrantRecord record;
-  record.slots = {Slot("w1", 7), Slot("w2", 3), Slot("w3", 5, kThere), Slot("w4", 4, kThere)};
+  record.slots = {Slot("w1", 7), Slot("w2", 3), Slot("w3", 5, kOtherZone),
+                  Slot("w4", 4, kOtherZone)};
   record.slots[3].state = SlotState::kRevoking;
   const std::vector<GrantSlot> pinned = PinnedSlots(row, record);
   REQUIRE(pinned.size() == 2);
@@ -118,7 +120,7 @@
   CHECK(pinned[1].worker == WorkerId("w3"));
 }
 
-TEST_CASE("slots are granted ahead of need, within both limits, to workers that stay") {
+TEST_CASE("slots are granted in advance, within both limits, to workers that are not leaving") {
   Plan plan;
   plan.targets[0].leaving = true;
   plan.targets[1].incarnation = WorkerIncarnation();
@@ -129,13 +131,13 @@
   record = PlanGrants(plan.input);
   CHECK(record.slots.size() == 2);
   CHECK(record.next_generation == GrantGeneration(3));
-  plan.Hold({Slot("v1", 1, kThere)});
+  plan.SetSlots({Slot("v1", 1, kOtherZone)});
   CHECK(PlanGrants(plan.input).slots.size() == 2);
 }
 
-TEST_CASE("a revoking slot counts, and goes only when it is confirmed or its incarnation ended") {
+TEST_CASE("a revoking slot counts until its revocation is confirmed or its incarnation has ended") {
   Plan plan;
-  plan.Hold({Slot("w1", 1), Slot("w2", 2)});
+  plan.SetSlots({Slot("w1", 1), Slot("w2", 2)});
   plan.input.record.slots[0].state = SlotState::kRevoking;
   CHECK(PlanGrants(plan.input) == plan.input.record);
 
@@ -166,10 +168,11 @@
   }
 }
 
-TEST_CASE("lowered limits, deleted rows and leaving workers revoke by a larger generation") {
+TEST_CASE(
+    "lowered limits, deleted rows and leaving workers cause revocations with a larger generation") {
   Plan plan;
-  plan.Hold({Slot("w1", 1), Slot("w2", 2), Slot("v1", 3, kThere)});
-  SUBCASE("lowered: the newest goes, other zones' slots stay") {
+  plan.SetSlots({Slot("w1", 1), Slot("w2", 2), Slot("v1", 3, kOtherZone)});
+  SUBCASE("lowered: the newest slot is revoked, other zones' slots stay") {
     plan.input.zone_limit = 1;
     const GrantRecord record = PlanGrants(plan.input);
     CHECK(record.slots[0].state == SlotState::kGranted);
@@ -192,7 +195,7 @@
   }
 }
 
-TEST_CASE("grants spread over workers, and adapters stay with their base") {
+TEST_CASE("grants spread over workers, and adapters are granted where their base is") {
   Plan plan;
   plan.input.total_limit = 1;
   std::map<WorkerId, int> counts;
@@ -211,9 +214,10 @@
   CHECK(record.slots[0].worker == WorkerId("w2"));
 }
 
-TEST_CASE("one transaction for a model at a time, with both revisions, until it times out") {
+TEST_CASE(
+    "one transaction per model is in flight at a time, with both revisions, until it times out") {
   RecordStore store;
-  GrantManager grants(NodeId("n"), kHere, {kHere}, GrantOptions(), &store);
+  GrantManager grants(NodeId("n"), kLocalZone, {kLocalZone}, GrantOptions(), &store);
   store.SetListener([&](const std::string&) { grants.MarkDirty(ModelName("m")); });
   store.Apply(TableRevision(0), TableRevision(4),
               {{RowKey(ModelName("m")), TableRevision(4), Row("m", 1)}});
@@ -231,10 +235,10 @@
   CHECK(transaction.preconditions[0].revision == TableRevision(4));
   CHECK(transaction.preconditions[1].revision == TableRevision(0));
   CHECK(tick(absl::Seconds(1)).platform_calls.empty());
-  // The answer never comes: given up, and tried again later.
+  // The answer never arrives: the call is abandoned and retried later.
   CHECK(tick(absl::Seconds(11)).platform_calls.empty());
   CHECK(tick(absl::Seconds(12)).platform_calls.size() == 1);
-  // The first one had its effect: the record arrives, nothing more is written.
+  // The first call took effect: the record arrives, and nothing more is written.
   const std::string& value = *transaction.writes[0].value;
   const std::string key = GrantKey(ModelName("m"));
   store.Apply(TableRevision(4), TableRevision(5),
