--- a/include/hingespan/backing/http_machine_list.h
+++ b/include/hingespan/backing/http_machine_list.h
@@ -1,4 +1,4 @@
-// The platform's machine list over HTTP with JSON, as docs/EMULATOR.md describes it.
+// Client of the platform's machine list over HTTP with JSON, as described in docs/EMULATOR.md.
 #ifndef HINGESPAN_BACKING_HTTP_MACHINE_LIST_H_
 #define HINGESPAN_BACKING_HTTP_MACHINE_LIST_H_
 
@@ -13,11 +13,13 @@
 
 class JsonHttpClient;
 
-// Thread-safe. Errors: kUnavailable and kRateLimited (no effect), kTimeout and kAnswerLost (maybe
-// an effect), kMalformed for an unreadable answer, others by HTTP status.
+// Thread-safe. Errors: kUnavailable and kRateLimited (the call had no effect), kTimeout and
+// kAnswerLost (it may have had an effect), kMalformed for an unreadable answer, others by HTTP
+// status.
 //
-// Holds the last list that came with an entity tag, and names the tag with the next read: the
-// platform may then answer that it has not changed. A platform without tags sends it whole.
+// Caches the last list that came with an entity tag and sends the tag with the next read. The
+// platform may then answer that the list has not changed. A platform without tags always sends the
+// whole list.
 class HttpMachineList : public MachineList {
  public:
   // `address`: "ip:port" of the platform.
@@ -30,20 +32,20 @@
                               absl::Duration timeout) override;
 
  private:
-  struct HeldListing {
+  struct CachedListing {
     ZoneId zone;
     std::string etag;
     MachineListing listing;
   };
 
-  // Null when none is held as seen from the zone.
-  std::shared_ptr<const HeldListing> HeldFor(const ZoneId& zone) const;
-  void Hold(HeldListing held);
+  // Returns the cached list as seen from the zone, or null if there is none.
+  std::shared_ptr<const CachedListing> FindCached(const ZoneId& zone) const;
+  void SetCached(CachedListing cached);
   Result<bool> Put(const std::string& name, std::string body, absl::Duration timeout);
 
   std::unique_ptr<JsonHttpClient> client_;
   mutable absl::Mutex mutex_;
-  std::shared_ptr<const HeldListing> held_ ABSL_GUARDED_BY(mutex_);
+  std::shared_ptr<const CachedListing> cached_ ABSL_GUARDED_BY(mutex_);
 };
 
 }  // namespace hingespan
--- a/include/hingespan/backing/http_table_service.h
+++ b/include/hingespan/backing/http_table_service.h
@@ -1,4 +1,4 @@
-// The table service over HTTP with JSON, as docs/EMULATOR.md describes it.
+// Client of the table service over HTTP with JSON, as described in docs/EMULATOR.md.
 #ifndef HINGESPAN_BACKING_HTTP_TABLE_SERVICE_H_
 #define HINGESPAN_BACKING_HTTP_TABLE_SERVICE_H_
 
@@ -13,8 +13,8 @@
 
 class JsonHttpClient;
 
-// Thread-safe. Errors as in TableService; besides, kMalformed for an unreadable answer to a read
-// (to a commit: kAnswerLost, since the commit may have had its effect), and kInvalidArgument,
+// Thread-safe. Errors as in TableService, and also kMalformed for an unreadable answer to a read
+// (kAnswerLost for a commit, since it may have taken effect), and kInvalidArgument,
 // kPermissionDenied, kNotFound or kInternal by HTTP status.
 class HttpTableService : public TableService {
  public:
--- a/include/hingespan/backing/machine_list.h
+++ b/include/hingespan/backing/machine_list.h
@@ -1,4 +1,5 @@
-// The platform's list of machines, which lags behind reality. A hint, except for "gone".
+// The platform's list of machines, which lags behind reality. It is only a hint, except for the
+// state "gone".
 #ifndef HINGESPAN_BACKING_MACHINE_LIST_H_
 #define HINGESPAN_BACKING_MACHINE_LIST_H_
 
@@ -11,13 +12,13 @@
 
 namespace hingespan {
 
-// kGone: the platform has ended the machine; it will never run again under this incarnation.
+// kGone: the platform has ended the machine, which will never run again under this incarnation.
 enum class MachineState { kLive, kLeaving, kGone };
 
 struct NodeMachine {
   NodeId node;
   ZoneId zone;
-  // "ip:port" of the caller-facing HTTP server and of the control datagrams.
+  // "ip:port" addresses of the HTTP server for callers and of the control datagrams.
   std::string http_address;
   std::string control_address;
   MachineState state = MachineState::kLive;
@@ -44,12 +45,14 @@
 class MachineList {
  public:
   virtual ~MachineList() = default;
-  // As seen from `zone`: addresses in other zones may lead through that zone's links.
+  // Returns the list as seen from `zone`: addresses in other zones may lead through that zone's
+  // links.
   virtual Result<MachineListing> Read(const ZoneId& zone, absl::Duration timeout) = 0;
-  // Tells the platform the addresses of this machine, or that it leaves.
+  // Announces the addresses of this machine to the platform, or that it is leaving.
   virtual Result<bool> Announce(const NodeMachine& machine, absl::Duration timeout) = 0;
-  // Asks the platform to list a worker as leaving, or as live again. kNotFound: no such worker;
-  // kConflict: the platform has ended it; kInvalidArgument for kGone, which only the platform says.
+  // Requests that the platform list a worker as leaving, or as live again. kNotFound: no such
+  // worker; kConflict: the platform has ended it; kInvalidArgument for kGone, which only the
+  // platform may set.
   virtual Result<bool> AnnounceWorker(const WorkerId& worker, MachineState state,
                                       absl::Duration timeout) = 0;
 };
--- a/include/hingespan/backing/machine_state_name.h
+++ b/include/hingespan/backing/machine_state_name.h
@@ -1,4 +1,4 @@
-// The name of a machine's state in the machine list.
+// Conversion of machine states to their names in the machine list.
 #ifndef HINGESPAN_BACKING_MACHINE_STATE_NAME_H_
 #define HINGESPAN_BACKING_MACHINE_STATE_NAME_H_
 
@@ -6,7 +6,7 @@
 
 namespace hingespan {
 
-// "live", "leaving" or "gone".
+// Returns "live", "leaving" or "gone".
 const char* MachineStateName(MachineState state);
 
 }  // namespace hingespan
--- a/include/hingespan/backing/table_service.h
+++ b/include/hingespan/backing/table_service.h
@@ -1,4 +1,4 @@
-// The platform's transactional table service, behind typed calls.
+// Typed interface of the platform's transactional table service.
 #ifndef HINGESPAN_BACKING_TABLE_SERVICE_H_
 #define HINGESPAN_BACKING_TABLE_SERVICE_H_
 
@@ -14,26 +14,26 @@
 
 namespace hingespan {
 
-// A value under a key. Revision 0 and no value: the key is absent.
+// A value under a key. The key is absent if the revision is 0 and there is no value.
 struct StoredValue {
   std::string key;
   TableRevision revision;
   std::optional<std::string> value;
 };
 
-// The key's revision must still be this one; 0 means that the key must be absent.
+// Requires that the key's revision is still this one; 0 requires that the key is absent.
 struct Precondition {
   std::string key;
   TableRevision revision;
 };
 
-// Without a value the key is deleted.
+// Write of one key; deletes the key if there is no value.
 struct Write {
   std::string key;
   std::optional<std::string> value;
 };
 
-// All writes or none, if all preconditions hold.
+// Applies all writes if all preconditions hold, and none otherwise.
 struct Transaction {
   std::vector<Precondition> preconditions;
   std::vector<Write> writes;
@@ -41,23 +41,23 @@
 
 struct TransactionResult {
   bool committed = false;
-  // The revision that all writes of the transaction received.
+  // Revision that all writes of the transaction received.
   TableRevision revision;
-  // When not committed: the present values of the keys whose precondition failed.
+  // Set if not committed: the current values of the keys whose precondition failed.
   std::vector<StoredValue> conflicting;
 };
 
-// Latest values of changed keys, oldest revision first. Deleted keys have no value.
+// Latest values of changed keys in ascending order of revision. Deleted keys have no value.
 struct ValueChangePage {
   std::vector<StoredValue> changes;
-  // All changes up to this revision are in this page or before it.
+  // All changes up to this revision are in this page or an earlier one.
   TableRevision through;
-  // The newest revision of the service.
+  // Newest revision of the service.
   TableRevision latest;
 };
 
-// Implementations are thread-safe and block up to `timeout`.
-// Errors: kUnavailable and kRateLimited (no effect), kTimeout and kAnswerLost (maybe an effect).
+// Implementations are thread-safe and block up to `timeout`. Errors: kUnavailable and kRateLimited
+// (the call had no effect), kTimeout and kAnswerLost (it may have had an effect).
 class TableService {
  public:
   virtual ~TableService() = default;
@@ -65,11 +65,13 @@
   virtual Result<TransactionResult> Commit(const Transaction& transaction,
                                            absl::Duration timeout) = 0;
   virtual Result<StoredValue> Read(const std::string& key, absl::Duration timeout) = 0;
-  // Changes of replicated keys (rows, grants, claims) after `after`, at most `limit` of them.
+  // Returns changes of replicated keys (rows, grants, claims) after `after`, at most `limit` of
+  // them.
   // Spec action: SendPage (of the platform).
   virtual Result<ValueChangePage> ReadChanges(TableRevision after, int limit,
                                               absl::Duration timeout) = 0;
-  // Earlier values of one key, newest first, at most `limit` (for the operators' history).
+  // Returns earlier values of one key, newest first, at most `limit`. Used for the operators'
+  // history.
   virtual Result<std::vector<StoredValue>> ReadHistory(const std::string& key, int limit,
                                                        absl::Duration timeout) = 0;
 };
--- a/src/backing/http_machine_list.cc
+++ b/src/backing/http_machine_list.cc
@@ -104,16 +104,16 @@
   JsonHttpRequest request;
   request.path = "/machines";
   request.query = {{"zone", zone.value()}};
-  const std::shared_ptr<const HeldListing> held = HeldFor(zone);
-  if (held != nullptr) {
-    request.if_none_match = held->etag;
+  const std::shared_ptr<const CachedListing> cached = FindCached(zone);
+  if (cached != nullptr) {
+    request.if_none_match = cached->etag;
   }
   const Result<JsonHttpAnswer> answer = client_->Send(request, timeout);
   if (!answer.ok()) {
     return answer.error();
   }
-  if (held != nullptr && answer->status == kHttpNotModified) {
-    return held->listing;
+  if (cached != nullptr && answer->status == kHttpNotModified) {
+    return cached->listing;
   }
   const Error error = ErrorOfHttpStatus(answer->status);
   if (error != Error::kOk) {
@@ -125,21 +125,21 @@
       !ReadMachines(json, "workers", &listing.workers)) {
     return Error::kMalformed;
   }
-  Hold({zone, answer->etag, listing});
+  SetCached({zone, answer->etag, listing});
   return listing;
 }
 
-std::shared_ptr<const HttpMachineList::HeldListing> HttpMachineList::HeldFor(
+std::shared_ptr<const HttpMachineList::CachedListing> HttpMachineList::FindCached(
     const ZoneId& zone) const {
   absl::MutexLock lock(&mutex_);
-  const bool fits = held_ != nullptr && held_->zone == zone && !held_->etag.empty();
-  return fits ? held_ : nullptr;
+  const bool fits = cached_ != nullptr && cached_->zone == zone && !cached_->etag.empty();
+  return fits ? cached_ : nullptr;
 }
 
-void HttpMachineList::Hold(HeldListing held) {
-  auto shared = std::make_shared<const HeldListing>(std::move(held));
+void HttpMachineList::SetCached(CachedListing cached) {
+  auto shared = std::make_shared<const CachedListing>(std::move(cached));
   absl::MutexLock lock(&mutex_);
-  held_ = std::move(shared);
+  cached_ = std::move(shared);
 }
 
 Result<bool> HttpMachineList::Announce(const NodeMachine& machine, absl::Duration timeout) {
--- a/src/backing/http_table_service.cc
+++ b/src/backing/http_table_service.cc
@@ -66,7 +66,7 @@
   return stored;
 }
 
-// The array under `field`.
+// Parses the array in `field`.
 Result<std::vector<StoredValue>> StoredValuesFromJson(const Json& json, const char* field) {
   const auto found = json.find(field);
   if (found == json.end() || !found->is_array()) {
@@ -117,7 +117,7 @@
   return ValueChangePage{*std::move(changes), *through, *latest};
 }
 
-// The JSON object that the service answered.
+// Sends a request and returns the JSON object in the answer.
 Result<Json> Call(JsonHttpClient* client, const JsonHttpRequest& request, absl::Duration timeout) {
   const Result<JsonHttpAnswer> answer = client->Send(request, timeout);
   if (!answer.ok()) {
--- a/src/backing/json_http_client.cc
+++ b/src/backing/json_http_client.cc
@@ -14,8 +14,8 @@
 namespace hingespan {
 namespace {
 
-// Part of a call's time that connecting may take.
-constexpr int kConnectShare = 4;
+// Connecting may take one part in this many of a call's time limit.
+constexpr int kConnectTimeoutDivisor = 4;
 
 const char* MethodName(HttpMethod method) {
   switch (method) {
@@ -55,14 +55,14 @@
   connection->set_write_timeout(absl::ToChronoMicroseconds(transfer));
 }
 
-// Errors before anything was sent.
-bool NeverConnected(httplib::Error error) {
+// Returns whether the error occurred before anything was sent.
+bool IsConnectError(httplib::Error error) {
   return error == httplib::Error::Connection || error == httplib::Error::ConnectionTimeout ||
          error == httplib::Error::BindIPAddress || error == httplib::Error::SSLConnection ||
          error == httplib::Error::SSLLoadingCerts || error == httplib::Error::SSLServerVerification;
 }
 
-// Gathers the body, and stops when it is too large or too slow.
+// Collects the body, and stops if it is too large or takes too long.
 class AnswerReceiver {
  public:
   AnswerReceiver(std::size_t limit, absl::Time deadline) : limit_(limit), deadline_(deadline) {}
@@ -94,33 +94,34 @@
 
   Result<JsonHttpAnswer> Send(const JsonHttpRequest& request, absl::Duration timeout) {
     const absl::Time start = SystemClock().Now();
-    const absl::Duration connect = timeout / kConnectShare;
+    const absl::Duration connect = timeout / kConnectTimeoutDivisor;
     const absl::Duration transfer = timeout - connect;
     AnswerReceiver receiver(options_.maximum_answer_bytes, start + timeout);
     httplib::Request http = ToHttpRequest(request);
     http.content_receiver = [&receiver](const char* data, std::size_t size, std::uint64_t,
                                         std::uint64_t) { return receiver.Receive(data, size); };
 
-    std::unique_ptr<httplib::Client> connection = Take();
+    std::unique_ptr<httplib::Client> connection = TakeConnection();
     SetTimeouts(connection.get(), connect, transfer);
     const httplib::Result result = connection->send(http);
     if (!result) {
       const absl::Duration elapsed = SystemClock().Now() - start;
       return ErrorOf(result.error(), receiver, elapsed >= transfer);
     }
-    Return(std::move(connection));
+    ReturnConnection(std::move(connection));
     return JsonHttpAnswer{result->status, receiver.TakeBody(), result->get_header_value("ETag")};
   }
 
  private:
-  static Error ErrorOf(httplib::Error error, const AnswerReceiver& receiver, bool time_is_up) {
-    if (NeverConnected(error)) {
+  static Error ErrorOf(httplib::Error error, const AnswerReceiver& receiver,
+                       bool deadline_exceeded) {
+    if (IsConnectError(error)) {
       return Error::kUnavailable;
     }
     if (receiver.too_large()) {
       return Error::kMalformed;
     }
-    return time_is_up ? Error::kTimeout : Error::kAnswerLost;
+    return deadline_exceeded ? Error::kTimeout : Error::kAnswerLost;
   }
 
   std::unique_ptr<httplib::Client> Connect() const {
@@ -139,8 +140,8 @@
     return connection;
   }
 
-  // An idle connection, or a new one.
-  std::unique_ptr<httplib::Client> Take() {
+  // Returns an idle connection or a new one.
+  std::unique_ptr<httplib::Client> TakeConnection() {
     {
       absl::MutexLock lock(&mutex_);
       if (!idle_.empty()) {
@@ -152,7 +153,7 @@
     return Connect();
   }
 
-  void Return(std::unique_ptr<httplib::Client> connection) {
+  void ReturnConnection(std::unique_ptr<httplib::Client> connection) {
     absl::MutexLock lock(&mutex_);
     if (idle_.size() < static_cast<std::size_t>(options_.maximum_idle_connections)) {
       idle_.push_back(std::move(connection));
--- a/tests/backing/http_table_service_test.cc
+++ b/tests/backing/http_table_service_test.cc
@@ -19,7 +19,7 @@
 constexpr absl::Duration kLongTimeout = absl::Seconds(20);
 constexpr absl::Duration kShortTimeout = absl::Milliseconds(200);
 
-// Answers every request in one way, and keeps the last one.
+// Gives the same answer to every request and stores the last request.
 class FixedServer {
  public:
   FixedServer(int status, std::string body) {
@@ -77,7 +77,7 @@
   return HttpTableService(server.address()).Commit(OneWrite(), kLongTimeout).error();
 }
 
-std::error_code CommitError(ScriptedEnd end, absl::Duration timeout) {
+std::error_code CommitError(ScriptedAction end, absl::Duration timeout) {
   ScriptedServer server(end);
   const Result<TransactionResult> result =
       HttpTableService(server.address()).Commit(OneWrite(), timeout);
@@ -85,7 +85,7 @@
   return result.error();
 }
 
-TEST_CASE("a commit carries preconditions and writes, and gives the revision") {
+TEST_CASE("a commit sends preconditions and writes, and returns the revision") {
   FixedServer server(200, R"({"committed":true,"revision":9})");
   const auto result = HttpTableService(server.address()).Commit(OneWrite(), kLongTimeout);
   REQUIRE(result.ok());
@@ -97,7 +97,7 @@
       "writes":[{"key":"rows/a","value":"text"},{"key":"rows/b","value":null}]})"));
 }
 
-TEST_CASE("a commit that met a conflict gives the values that are there") {
+TEST_CASE("a conflicting commit returns the current values") {
   FixedServer server(200, R"({"committed":false,"revision":0,"conflicting":
       [{"key":"rows/a","revision":7,"value":"other"},{"key":"rows/b","revision":0,"value":null}]})");
   const auto result = HttpTableService(server.address()).Commit(OneWrite(), kLongTimeout);
@@ -109,7 +109,7 @@
   CHECK_FALSE(result->conflicting[1].value.has_value());
 }
 
-TEST_CASE("reads, changes and history are understood; keys are escaped") {
+TEST_CASE("answers to reads, changes and history are parsed; keys are escaped") {
   FixedServer read(200, R"({"key":"rows/a b&c","revision":3,"value":"x"})");
   const auto value = HttpTableService(read.address()).Read("rows/a b&c", kLongTimeout);
   REQUIRE(value.ok());
@@ -132,13 +132,13 @@
   CHECK(values->size() == 1);
 }
 
-TEST_CASE("a refused connection is unavailable: it had no effect") {
-  LoopbackListener closed;  // Bound, and not listening.
+TEST_CASE("a refused connection is reported as unavailable, as the call had no effect") {
+  LoopbackListener closed;  // Bound but not listening.
   HttpTableService service(closed.address());
   CHECK(service.Commit(OneWrite(), kLongTimeout).error() == Error::kUnavailable);
 }
 
-TEST_CASE("each HTTP status has its error") {
+TEST_CASE("each HTTP status maps to an error") {
   CHECK(CommitErrorOfStatus(429) == Error::kRateLimited);
   CHECK(CommitErrorOfStatus(503) == Error::kUnavailable);
   CHECK(CommitErrorOfStatus(500) == Error::kInternal);
@@ -146,16 +146,16 @@
 }
 
 TEST_CASE(
-    "a connection closed without a whole answer is a lost answer, and nothing is sent twice") {
-  CHECK(CommitError(ScriptedEnd::kCloseWithoutAnswer, kLongTimeout) == Error::kAnswerLost);
-  CHECK(CommitError(ScriptedEnd::kCloseWithinAnswer, kLongTimeout) == Error::kAnswerLost);
+    "a connection closed before a complete answer is a lost answer, and nothing is sent twice") {
+  CHECK(CommitError(ScriptedAction::kCloseWithoutAnswer, kLongTimeout) == Error::kAnswerLost);
+  CHECK(CommitError(ScriptedAction::kCloseWithinAnswer, kLongTimeout) == Error::kAnswerLost);
 }
 
-TEST_CASE("no answer in time is a timeout") {
-  CHECK(CommitError(ScriptedEnd::kSilence, kShortTimeout) == Error::kTimeout);
+TEST_CASE("a missing answer is reported as a timeout") {
+  CHECK(CommitError(ScriptedAction::kNoAnswer, kShortTimeout) == Error::kTimeout);
 }
 
-TEST_CASE("an unreadable answer to a commit is a lost answer, to a read it is malformed") {
+TEST_CASE("an unreadable answer counts as lost for a commit and as malformed for a read") {
   FixedServer server(200, "not json");
   HttpTableService service(server.address());
   CHECK(service.Commit(OneWrite(), kLongTimeout).error() == Error::kAnswerLost);
@@ -170,7 +170,7 @@
   CHECK(JsonHttpClient(options).Send({}, kLongTimeout).error() == Error::kMalformed);
 }
 
-TEST_CASE("calls one after another share a connection") {
+TEST_CASE("consecutive calls share a connection") {
   FixedServer server(200, R"({"key":"rows/a","revision":0,"value":null})");
   HttpTableService service(server.address());
   CHECK(service.Read("rows/a", kLongTimeout).ok());
@@ -192,7 +192,8 @@
   CHECK(server.last().get_param_value("zone") == "z1");
 }
 
-TEST_CASE("a machine list is named by its tag, and held while the platform says not modified") {
+TEST_CASE(
+    "the next read sends the machine list's tag, and the list is kept while it is not modified") {
   httplib::Server server;
   std::vector<std::string> named;
   server.Get("/machines", [&](const httplib::Request& request, httplib::Response& response) {
@@ -215,11 +216,13 @@
   }
   server.stop();
   thread.join();
-  // Zone z2 sees other addresses, so the list of z1 is not named.
+  // Zone z2 sees other addresses, so the tag of z1's list is not sent.
   CHECK(named == std::vector<std::string>{"", "\"7\"", ""});
 }
 
-TEST_CASE("a not modified that names no held list is an error, and a list without tag is read") {
+TEST_CASE(
+    "a not modified answer without a cached list is an error, and a list without a tag is "
+    "accepted") {
   FixedServer not_modified(304, "");
   CHECK_FALSE(HttpMachineList(not_modified.address()).Read(ZoneId("z1"), kLongTimeout).ok());
   FixedServer untagged(200, R"({"nodes":[],"workers":[]})");
@@ -248,7 +251,7 @@
   CHECK(nlohmann::json::parse(server.last().body)["state"] == "live");
 }
 
-TEST_CASE("a worker is announced as leaving; only the platform says that one is gone") {
+TEST_CASE("a worker can be announced as leaving, but only the platform declares one gone") {
   FixedServer server(200, "{}");
   HttpMachineList machines(server.address());
   CHECK(machines.AnnounceWorker(WorkerId("w/1"), MachineState::kLeaving, kLongTimeout).ok());
@@ -261,7 +264,7 @@
   CHECK(server.last().path == "/machines/w/1");
 }
 
-TEST_CASE("a worker that the platform does not know, or has ended, is told apart") {
+TEST_CASE("an unknown worker and an ended one cause different errors") {
   FixedServer unknown(404, "{}");
   FixedServer ended(409, "{}");
   const auto announce = [](const FixedServer& server) {
--- a/tests/backing/scripted_server.h
+++ b/tests/backing/scripted_server.h
@@ -1,4 +1,4 @@
-// A TCP server on loopback that plays the failures which an HTTP library's server can't.
+// TCP server on loopback that simulates failures which an HTTP library's server can't.
 #ifndef HINGESPAN_TESTS_BACKING_SCRIPTED_SERVER_H_
 #define HINGESPAN_TESTS_BACKING_SCRIPTED_SERVER_H_
 
@@ -16,15 +16,15 @@
 
 namespace hingespan {
 
-// What happens to a connection after its first request.
-enum class ScriptedEnd {
+// Action on a connection after its first request.
+enum class ScriptedAction {
   kCloseWithoutAnswer,
   kCloseWithinAnswer,
-  // Keeps the connection open, and says nothing.
-  kSilence,
+  // Keeps the connection open and sends nothing.
+  kNoAnswer,
 };
 
-// A listening loopback socket whose port the kernel picked.
+// Listening loopback socket on a port that the kernel assigned.
 class LoopbackListener {
  public:
   LoopbackListener() : socket_(::socket(AF_INET, SOCK_STREAM, 0)) {
@@ -49,7 +49,7 @@
 
 class ScriptedServer {
  public:
-  explicit ScriptedServer(ScriptedEnd end) : end_(end) {
+  explicit ScriptedServer(ScriptedAction action) : action_(action) {
     listener_.Listen();
     thread_ = std::thread([this] { Serve(); });
   }
@@ -71,12 +71,12 @@
       }
       ReadRequest(connection);
       ++requests_;
-      End(connection);
+      PerformAction(connection);
       ::close(connection);
     }
   }
 
-  // Reads up to the end of the head (and what of the body came with it).
+  // Reads up to the end of the head, and any part of the body that arrived with it.
   static void ReadRequest(int connection) {
     std::string request;
     char buffer[4096];
@@ -89,17 +89,17 @@
     }
   }
 
-  void End(int connection) {
-    if (end_ == ScriptedEnd::kCloseWithinAnswer) {
+  void PerformAction(int connection) {
+    if (action_ == ScriptedAction::kCloseWithinAnswer) {
       const std::string part = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"comm";
       ::send(connection, part.data(), part.size(), MSG_NOSIGNAL);
     }
-    if (end_ == ScriptedEnd::kSilence) {
+    if (action_ == ScriptedAction::kNoAnswer) {
       stop_.WaitForNotification();
     }
   }
 
-  const ScriptedEnd end_;
+  const ScriptedAction action_;
   LoopbackListener listener_;
   absl::Notification stop_;
   std::atomic<int> requests_{0};
