--- a/include/hingespan/grant/grant_manager.h
+++ b/include/hingespan/grant/grant_manager.h
@@ -46,7 +46,7 @@
   void MarkDirty(const ModelName& model);
   // Forgets the rows that other nodes place after a change of the members. Rows that this node now
   // places must be marked by the caller.
-  void ForgetLost(const std::function<bool(const ModelName&)>& is_mine);
+  void ForgetRowsOfOthers(const std::function<bool(const ModelName&)>& is_mine);
   // Plans for dirty models for which `is_mine` returns true, a bounded number per call, and writes
   // within the rate limit. A changed target marks the rows with a slot on it; a target with room
   // marks the rows that are short of slots. `keeper_of` returns the node to which revocations are
--- a/include/hingespan/placement/placer.h
+++ b/include/hingespan/placement/placer.h
@@ -61,7 +61,7 @@
                   Outbox* outbox);
   void HandleLoadReply(const NodeId& from, const LoadReply& reply, absl::Time now, Outbox* outbox);
   // Must be called when the model's row may have changed.
-  void NoteRow(const ModelName& model);
+  void OnRowChanged(const ModelName& model);
   // Repeats unanswered load requests, and keeps min_replicas loaded for models for which `is_mine`
   // returns true.
   void Tick(const std::function<bool(const ModelName&)>& is_mine,
--- a/include/hingespan/placement/worker_keeper.h
+++ b/include/hingespan/placement/worker_keeper.h
@@ -176,7 +176,7 @@
   void BecomeFenced(absl::Time now);
   void TickHolding(absl::Time now, Outbox* outbox);
   // Spec action: ReadStatus.
-  void AskStatus(absl::Time now, Outbox* outbox);
+  void RequestStatus(absl::Time now, Outbox* outbox);
   // Spec action: AnswerLost.
   void ExpireCalls(absl::Time now, Outbox* outbox);
   void HandleFenceAnswer(const EngineAnswer& answer, absl::Time now, Outbox* outbox);
--- a/src/grant/grant_manager.cc
+++ b/src/grant/grant_manager.cc
@@ -47,7 +47,7 @@
   index_.ForEachAdapterOf(model, [this](const ModelName& adapter) { dirty_.insert(adapter); });
 }
 
-void GrantManager::ForgetLost(const std::function<bool(const ModelName&)>& is_mine) {
+void GrantManager::ForgetRowsOfOthers(const std::function<bool(const ModelName&)>& is_mine) {
   index_.EraseUnless(is_mine);
 }
 
--- a/src/node/node_core.cc
+++ b/src/node/node_core.cc
@@ -271,7 +271,7 @@
   const std::optional<ModelName> model = ModelOfKey(key);
   if (model) {
     grants_->MarkDirty(*model);
-    placer_->NoteRow(*model);
+    placer_->OnRowChanged(*model);
   }
 }
 
@@ -297,7 +297,7 @@
   }
   if (members_changed) {
     row_takeover_->SetMembers(membership_->duty_holders());
-    grants_->ForgetLost([this](const ModelName& model) { return IsPlacerOf(model); });
+    grants_->ForgetRowsOfOthers([this](const ModelName& model) { return IsPlacerOf(model); });
   }
 }
 
--- a/src/placement/placer.cc
+++ b/src/placement/placer.cc
@@ -297,7 +297,7 @@
   cold->waiters.clear();
 }
 
-void Placer::NoteRow(const ModelName& model) {
+void Placer::OnRowChanged(const ModelName& model) {
   const auto row = store_->FindRow(model);
   if (row != nullptr && row->min_replicas > 0) {
     minimum_models_.insert(model);
--- a/src/placement/worker_keeper.cc
+++ b/src/placement/worker_keeper.cc
@@ -37,7 +37,7 @@
     BecomeFencing(now);
   }
   if (state_ == KeeperState::kFencing && control_call_ == 0 && now >= next_fence_) {
-    AskStatus(now, outbox);
+    RequestStatus(now, outbox);
   }
   if (state_ == KeeperState::kHolding) {
     TickHolding(now, outbox);
@@ -47,7 +47,7 @@
 
 void WorkerKeeper::TickHolding(absl::Time now, Outbox* outbox) {
   if (control_call_ == 0 && now >= next_status_) {
-    AskStatus(now, outbox);
+    RequestStatus(now, outbox);
   }
   RepeatLostOrders(now, outbox);
   DropExpiredLoads(now);
@@ -255,7 +255,7 @@
   TryStartLoads(now, outbox);
 }
 
-void WorkerKeeper::AskStatus(absl::Time now, Outbox* outbox) {
+void WorkerKeeper::RequestStatus(absl::Time now, Outbox* outbox) {
   EngineCall call;
   call.order = StatusCall{};
   control_call_ = Call(std::move(call), PendingCall(), now, outbox);
--- a/tests/placement/placer_test.cc
+++ b/tests/placement/placer_test.cc
@@ -24,7 +24,7 @@
 
   explicit Rig(PlacerOptions options = PlacerOptions())
       : placer(NodeId("p"), kZone, options, &store, &directory) {
-    store.SetListener([this](const std::string&) { placer.NoteRow(kModel); });
+    store.SetListener([this](const std::string&) { placer.OnRowChanged(kModel); });
   }
 
   void SetRow(std::uint32_t limit, std::uint32_t min_replicas = 0) {
