--- a/include/hingespan/routing/circuit_breaker.h
+++ b/include/hingespan/routing/circuit_breaker.h
@@ -1,4 +1,5 @@
-// Stops sending to an engine that keeps failing, and lets one request through now and then.
+// Circuit breaker: stops sending to an engine that fails repeatedly and lets single trial requests
+// through.
 #ifndef HINGESPAN_ROUTING_CIRCUIT_BREAKER_H_
 #define HINGESPAN_ROUTING_CIRCUIT_BREAKER_H_
 
@@ -7,24 +8,26 @@
 namespace hingespan {
 
 struct CircuitBreakerOptions {
-  // Failures in a row that open the circuit.
+  // Number of consecutive failures that opens the circuit.
   int failure_threshold = 3;
-  // Time until one trial is let through, and between two trials. Doubles with each failed trial, to
-  // at most ten times this.
+  // Time before the first trial and between two trials. It doubles with each failed trial, up to
+  // ten times this value.
   absl::Duration open_for = absl::Seconds(1);
 };
 
-// States: closed -> open (after failures in a row) -> half open (one trial) -> closed or open.
+// States: closed -> open (after consecutive failures) -> half open (one trial in flight) -> closed
+// or open. Not thread-safe.
 class CircuitBreaker {
  public:
   explicit CircuitBreaker(CircuitBreakerOptions options) : options_(options) {}
-  // Whether a request may go now.
+  // Returns whether a request may be sent now.
   bool Allows(absl::Time now) const;
-  // A request goes now (takes the trial when half open).
+  // Records that a request is sent now. While the circuit is half open, this request is the trial.
   void OnDispatch(absl::Time now);
   void OnSuccess();
   void OnFailure(absl::Time now);
-  // The request ended without telling anything about the engine (its caller went away).
+  // Records that the request ended without a result for this engine, for example because its caller
+  // disconnected.
   void OnAbandoned();
   bool open() const { return failures_ >= options_.failure_threshold; }
 
@@ -34,8 +37,8 @@
   CircuitBreakerOptions options_;
   int failures_ = 0;
   int failed_trials_ = 0;
-  bool trial_under_way_ = false;
-  // While open, the next trial may go at this instant.
+  bool trial_in_flight_ = false;
+  // Time from which the next trial is allowed while the circuit is open.
   absl::Time next_trial_ = absl::InfinitePast();
 };
 
--- a/include/hingespan/routing/load_balancer.h
+++ b/include/hingespan/routing/load_balancer.h
@@ -1,4 +1,4 @@
-// Pure choice of a replica: prefix affinity, else the less loaded of two.
+// Chooses a replica by prefix affinity, or the less loaded of two. No state.
 #ifndef HINGESPAN_ROUTING_LOAD_BALANCER_H_
 #define HINGESPAN_ROUTING_LOAD_BALANCER_H_
 
@@ -12,13 +12,14 @@
 
 struct Candidate {
   WorkerId worker;
-  // Requests of this node that run there, plus those that its keeper reported.
+  // Requests of this node that run at the worker, plus the estimated requests of other nodes.
   std::uint32_t load = 0;
 };
 
-// Index into `candidates` (not empty). The candidate that rendezvous hashing of `prefix_hash` picks
-// keeps the request unless it has more than `affinity_slack` above the less loaded of two others.
-// A `prefix_hash` of 0 means that no prefix is known: the less loaded of two is taken.
+// Returns an index into `candidates`, which must not be empty. The candidate that rendezvous
+// hashing selects for `prefix_hash` takes the request unless its load exceeds that of the less
+// loaded of two other candidates by more than `affinity_slack`. A `prefix_hash` of 0 means that no
+// prefix is known; then the less loaded of two candidates is chosen.
 std::size_t ChooseReplica(const std::vector<Candidate>& candidates, std::uint64_t prefix_hash,
                           std::uint32_t affinity_slack, Random* random);
 
--- a/include/hingespan/routing/request_router.h
+++ b/include/hingespan/routing/request_router.h
@@ -1,13 +1,15 @@
-// Life of a request at one node: site, queue, claim, dispatch, retry, end. Pure: it decides, others
-// carry out.
+// Lifecycle of a request at one node: choice of the zone, queue, claim, dispatch, retry, end. The
+// router only decides; its caller carries the decisions out.
 //
-// States: waiting for a replica -> (not repeatable) claiming -> running at a worker -> ended; or
-// forwarded to another zone -> ended; any state -> refused. Each request gets exactly one final
-// decision (kRefuse), or ends by OnFinished after its last kDispatch or kForward:
-//   OnFinished with kComplete, kCancelled or kRefusedElsewhere ends the request without a further
-//   decision;
-//   every other outcome leads to exactly one more decision (kDispatch, kForward or kRefuse), at
-//   once or later. A cancelled request that was not running ends by kRefuse (kCancelled).
+// States: waiting for a replica -> claiming (requests that are not repeatable) -> running at a
+// worker -> ended; or forwarded to another zone -> ended; any state -> refused. Each request either
+// gets exactly one final decision (kRefuse), or ends by OnFinished after its last kDispatch or
+// kForward:
+// - OnFinished with kComplete, kCancelled or kRefusedElsewhere ends the request without a further
+// decision.
+// - Every other outcome leads to exactly one more decision (kDispatch, kForward or kRefuse), at
+// once or later. A request that is cancelled while it is not running ends with kRefuse
+// (kCancelled).
 #ifndef HINGESPAN_ROUTING_REQUEST_ROUTER_H_
 #define HINGESPAN_ROUTING_REQUEST_ROUTER_H_
 
@@ -39,23 +41,23 @@
 namespace hingespan {
 
 struct RouterOptions {
-  // A wake request is repeated this often while requests wait.
+  // Interval at which wake requests are repeated while requests wait.
   absl::Duration wake_interval = absl::Milliseconds(250);
-  // With a ready replica, the placer is asked for more once this many wait, or some request has
-  // waited for a wake_interval.
+  // Queue length at which the placer is asked for more replicas although one is ready. It is also
+  // asked once a request has waited for a wake_interval.
   std::uint32_t long_queue = 8;
-  // A wait is hopeless when the expected wait is more than this many times the time left; above 1
-  // since expected waits are estimates.
+  // A request is refused if its expected wait exceeds the time left multiplied by this factor. The
+  // factor is above 1 because expected waits are estimates.
   double hopeless_margin = 1.2;
-  // Requests known to this node at most, waiting and running.
+  // Maximum number of requests at this node, waiting and running.
   std::uint32_t maximum_requests = 1024;
   std::uint32_t affinity_slack = 2;
   int maximum_attempts = 4;
-  // Time given to a claim; less when the request's own deadline is nearer.
+  // Timeout of a claim; shorter if the deadline of the request is nearer.
   absl::Duration claim_time = absl::Seconds(2);
   RetryBudgetOptions retry_budget;
   CircuitBreakerOptions circuit_breaker;
-  // For tests only: retry not-repeatable requests that may have run; no hopeless refusals.
+  // For tests only: retry requests that are not repeatable and may have run; never refuse early.
   bool disable_repeat_protection_for_test = false;
   bool disable_early_refusal_for_test = false;
 };
@@ -65,16 +67,16 @@
   ModelName model;
   int priority = 0;
   bool repeatable = true;
-  // Empty: none given.
+  // Empty if the caller gave none.
   IdempotencyKey key;
-  // Instant of Clock::Now, fixed at arrival.
+  // Time of Clock::Now, fixed at arrival.
   absl::Time deadline;
   std::uint64_t prefix_hash = 0;
-  // Came from another zone's node: serve it here or refuse it.
+  // True if a node of another zone forwarded the request: it is served here or refused.
   bool forwarded = false;
 };
 
-// A node of another zone that requests can be forwarded to.
+// Node of another zone to which requests can be forwarded.
 struct RemoteNode {
   NodeId node;
   ZoneId zone;
@@ -82,9 +84,9 @@
 };
 
 enum class RouteAction {
-  // Send to the engine at `base_url`.
+  // Send the request to the engine at `base_url`.
   kDispatch,
-  // Send the caller's request to `forward_address`, marked as forwarded.
+  // Send the request to `forward_address`, marked as forwarded.
   kForward,
   kRefuse,
 };
@@ -99,20 +101,21 @@
   Refusal refusal;
 };
 
-// How a dispatch or a forward ended.
+// Outcome of a dispatch or a forward.
 enum class AttemptOutcome {
   kComplete,
-  // Provably not run (refused by the engine, or no connection).
+  // Provably not run: the engine refused it, or no connection could be made.
   kNotRun,
-  // The engine does not hold the model (provably not run).
+  // Provably not run: the engine does not hold the model.
   kNotLoaded,
-  // Broke before anything reached the caller; may have run.
+  // Failed before any output reached the caller; the request may have run.
   kFailedBeforeOutput,
-  // Broke after a part of the answer reached the caller.
+  // Failed after a part of the output reached the caller.
   kFailedAfterOutput,
   kDeadlineExceeded,
   kCancelled,
-  // The node that it was forwarded to refused it for good; the caller gets that node's refusal.
+  // The node to which it was forwarded refused it finally; the caller gets the refusal of that
+  // node.
   kRefusedElsewhere,
 };
 
@@ -122,12 +125,12 @@
   std::uint64_t dispatched = 0;
   std::uint64_t forwarded = 0;
   std::uint64_t completed = 0;
-  // Ended by OnFinished(kCancelled).
+  // Requests that ended by OnFinished(kCancelled).
   std::uint64_t cancelled = 0;
-  // Ended by OnFinished(kRefusedElsewhere).
+  // Requests that ended by OnFinished(kRefusedElsewhere).
   std::uint64_t refused_elsewhere = 0;
   std::uint64_t retried = 0;
-  // Had to wait as no replica was ready.
+  // Requests that waited because no replica was ready.
   std::uint64_t cold = 0;
   absl::btree_map<RefusalCode, std::uint64_t> refused;
 };
@@ -139,28 +142,30 @@
                 const RecordStore* store, ReplicaDirectory* directory, Claimant* claimant,
                 std::uint64_t seed);
 
-  // Node facts that change: other zones' nodes; whether new requests are taken.
+  // Updates the known nodes of other zones, and whether new requests are accepted.
   void SetRemoteNodes(std::vector<RemoteNode> nodes);
   void SetStopping(bool stopping);
 
-  // Decisions, at once or later, come out of TakeDecisions. `request.request` must be new: one that
-  // is still known here is ignored.
+  // Accepts a request. Its decisions, made at once or later, are returned by TakeDecisions.
+  // `request.request` must be new; an id that is still known is ignored.
   // Spec action: Submit.
   void Submit(const RouteRequest& request, absl::Time now, absl::Time wall_time, Outbox* outbox);
-  // The dispatch or forward of the latest decision ended; may lead to another decision.
+  // Reports the outcome of the latest dispatch or forward of a request. May lead to another
+  // decision.
   // Spec action: OnFinished.
   void OnFinished(const RequestId& request, AttemptOutcome outcome, absl::Time now,
                   absl::Time wall_time, Outbox* outbox);
-  // The caller went away. A running request must still be ended by OnFinished.
+  // Cancels a request whose caller disconnected. A running request must still be ended by
+  // OnFinished.
   void Cancel(const RequestId& request);
 
-  // Replicas of these models changed.
+  // Dispatches waiting requests after the replicas of `models` changed.
   // Spec action: LoadReady.
   void OnReplicasChanged(const std::vector<ModelName>& models, absl::Time now, absl::Time wall_time,
                          Outbox* outbox);
   void OnWakeReply(const WakeReply& reply, absl::Time now);
-  // Takes claim decisions from the claimant, expires waits, repeats wake requests. `placer_of`
-  // names a model's placer in this zone (may be this node).
+  // Handles claim decisions, expires waiting requests and repeats wake requests. `placer_of`
+  // returns the placer of a model in this zone, which may be this node.
   // Spec actions: Tick, Wake.
   void Tick(const std::function<NodeId(const ModelName&)>& placer_of, absl::Time now,
             absl::Time wall_time, Outbox* outbox);
@@ -169,39 +174,40 @@
   const RouterCounters& counters() const { return counters_; }
   std::size_t waiting() const;
   std::size_t active() const { return requests_.size(); }
-  // Places taken at workers, by requests that run or are being claimed.
-  std::size_t places_taken() const { return loads_.running(); }
+  // Reservations at workers, held by requests that run or are being claimed.
+  std::size_t reservations() const { return loads_.running(); }
 
  private:
   enum class Stage { kWaiting, kClaiming, kRunning, kForwarded };
   struct State {
     RouteRequest request;
     Stage stage = Stage::kWaiting;
-    // While claiming or running: where a place is taken.
+    // Worker at which capacity is reserved while the request is claiming or running.
     WorkerId worker;
-    // Dispatches to engines, but for those that were not run and left no engine to try.
+    // Number of dispatches, without those that provably did not run and left no worker to try.
     int attempts = 0;
-    // When the latest dispatch was.
+    // Time of the latest dispatch.
     absl::Time dispatched_at;
-    // Was let into the model's queue, or past it.
+    // True once the request passed the queue limit of the model, with or without queueing.
     bool admitted = false;
-    // The key was claimed by this attempt.
+    // True if this attempt holds the claim on the key.
     bool claimed = false;
-    // Some dispatch or forward may have run.
+    // True if some dispatch or forward may have run.
     bool may_have_run = false;
     bool cancelled = false;
-    // This zone's placer refused it: another zone may have room.
+    // True if this zone's placer refused the request; another zone may still have capacity.
     bool refused_here = false;
-    // Workers that refused it: taken again only when there is no other.
+    // Workers at which the request failed. They are chosen again only if no other worker is
+    // available.
     std::vector<WorkerId> failed_workers;
     std::vector<RemoteNode> tried_remotes;
   };
   struct ModelState {
     WaitingQueue queue;
     absl::Time next_wake = absl::InfinitePast();
-    // Since when the queue is not empty.
+    // Time since which the queue is not empty.
     absl::Time waiting_since = absl::InfiniteFuture();
-    // The placer says that a replica is ready, of which this node does not know.
+    // True if the placer reported a ready replica that this node does not know.
     bool missed_ready = false;
   };
   struct HeldClaim {
@@ -209,7 +215,7 @@
     IdempotencyKey key;
   };
 
-  // Sites.
+  // Choice of the zone.
   void Route(const RequestId& request, absl::Time now, absl::Time wall_time, Outbox* outbox);
   std::optional<ZoneId> ChooseSiteFor(const ModelRow& row, const State& state);
   bool HasGrantedSlot(const ModelName& model, const ZoneId& zone) const;
@@ -227,7 +233,7 @@
                        Outbox* outbox);
   // Spec action: Dispatch.
   void Dispatch(State* state, const WorkerId& worker, absl::Time now);
-  void LeavePlace(State* state);
+  void ReleaseReservation(State* state);
   void ForgetIdleModels(absl::Time now);
 
   // Claims.
@@ -241,15 +247,15 @@
 
   // Ends of attempts and requests.
   void OnWorkerOutcome(State* state, AttemptOutcome outcome, absl::Time now);
-  void AfterFailure(const RequestId& request, bool may_have_run, absl::Time now,
-                    absl::Time wall_time, Outbox* outbox);
+  void RetryOrRefuse(const RequestId& request, bool may_have_run, absl::Time now,
+                     absl::Time wall_time, Outbox* outbox);
   bool MayRepeat(const State& state) const;
   bool AnyWorkerAllowed(const ModelName& model, absl::Time now);
   // Spec action: Tick.
   void ExpireWaits(absl::Time now);
   void ExpireQueue(WaitingQueue* queue, absl::Time now);
   void RefuseExpired(const RequestId& request);
-  void RefuseVanishedRows();
+  void RefuseUnservableModels();
   void RefuseWaiting(const ModelName& model, RefusalCode code, absl::Duration retry_after,
                      const std::string& detail);
   void RefuseHopeless(const ModelName& model, absl::Duration expected_wait, absl::Time now);
@@ -279,12 +285,12 @@
   ServiceTimes service_times_;
   bool stopping_ = false;
   std::vector<RemoteNode> remote_nodes_;
-  // Node-based: a State keeps its address while others come and go.
+  // A node-based map, so that a State keeps its address while other entries are added and erased.
   absl::node_hash_map<RequestId, State> requests_;
-  // Models with waiting requests, or that had some a moment ago.
+  // Models that have waiting requests or had some recently.
   absl::btree_map<ModelName, ModelState> models_;
   absl::btree_set<RequestId> claiming_;
-  // Claims under way whose request has ended: released if they are granted.
+  // Pending claims whose request has ended. They are released if they are granted.
   absl::flat_hash_map<RequestId, IdempotencyKey> abandoned_claims_;
   std::vector<HeldClaim> releases_;
   std::vector<RouteDecision> decisions_;
--- a/include/hingespan/routing/retry_budget.h
+++ b/include/hingespan/routing/retry_budget.h
@@ -1,4 +1,4 @@
-// Bounds retries to a share of requests, so that failures do not multiply load.
+// Limits retries to a share of the requests, so that failures do not multiply the load.
 #ifndef HINGESPAN_ROUTING_RETRY_BUDGET_H_
 #define HINGESPAN_ROUTING_RETRY_BUDGET_H_
 
@@ -7,7 +7,7 @@
 namespace hingespan {
 
 struct RetryBudgetOptions {
-  // Retries allowed for each request, and the most that can be saved up.
+  // Retries earned by each request, and the maximum number of unused retries.
   double retries_per_request = 0.2;
   double maximum_saved = 20.0;
 };
@@ -19,7 +19,7 @@
   void OnRequest() {
     saved_ = std::min(options_.maximum_saved, saved_ + options_.retries_per_request);
   }
-  // True, and one is spent, when a retry is allowed.
+  // Returns true and uses one retry if a retry is allowed.
   bool TryRetry() {
     if (saved_ < 1.0) {
       return false;
--- a/include/hingespan/routing/service_times.h
+++ b/include/hingespan/routing/service_times.h
@@ -1,4 +1,4 @@
-// Time of a model's requests at engines, as this node saw them end.
+// Moving average of the time that a model's requests took at engines, as observed by this node.
 #ifndef HINGESPAN_ROUTING_SERVICE_TIMES_H_
 #define HINGESPAN_ROUTING_SERVICE_TIMES_H_
 
@@ -8,11 +8,11 @@
 
 namespace hingespan {
 
-// Not thread-safe. Models that no request ended of for ten minutes are forgotten.
+// Not thread-safe. A model is removed ten minutes after the last of its requests ended.
 class ServiceTimes {
  public:
   void Observe(const ModelName& model, absl::Duration taken, absl::Time now);
-  // Moving average; 0 when none was seen lately.
+  // Returns the moving average; 0 if no request ended recently.
   absl::Duration Find(const ModelName& model) const;
 
  private:
--- a/include/hingespan/routing/site_choice.h
+++ b/include/hingespan/routing/site_choice.h
@@ -1,4 +1,4 @@
-// Pure choice of the zone that serves a request, by the row's weights.
+// Chooses the zone that serves a request by the weights of its row. No state.
 #ifndef HINGESPAN_ROUTING_SITE_CHOICE_H_
 #define HINGESPAN_ROUTING_SITE_CHOICE_H_
 
@@ -11,18 +11,20 @@
 
 namespace hingespan {
 
-// A zone that can be reached.
+// Zone that can be reached.
 struct SiteCandidate {
   ZoneId zone;
   std::uint32_t weight = 0;
-  // A replica slot of the model is granted there.
+  // True if a replica slot of the model is granted in the zone.
   bool has_slot = false;
-  // The row's limit leaves at least one replica to this zone: a slot may come.
+  // True if the replica limit of the row leaves at least one replica to the zone, so that a slot
+  // can be granted there.
   bool has_share = false;
 };
 
-// Random by weight among the candidates of weight > 0 that stand best: with a slot, else with a
-// share of the replicas, else any. Nothing when no candidate has a weight.
+// Chooses at random by weight among the candidates with a weight above 0 that rank highest: first
+// those with a slot, then those with a share of the replicas, then the others. Returns nullopt if
+// no candidate has a weight.
 std::optional<ZoneId> ChooseSite(const std::vector<SiteCandidate>& candidates, Random* random);
 
 }  // namespace hingespan
--- a/include/hingespan/routing/worker_loads.h
+++ b/include/hingespan/routing/worker_loads.h
@@ -1,5 +1,5 @@
-// This node's view of how busy and how healthy each worker is: its own running requests, an
-// estimate of other nodes' requests, and a circuit breaker.
+// Load and health of each worker as known to this node: its own running requests, an estimate of
+// other nodes' requests, and a circuit breaker.
 #ifndef HINGESPAN_ROUTING_WORKER_LOADS_H_
 #define HINGESPAN_ROUTING_WORKER_LOADS_H_
 
@@ -16,33 +16,35 @@
 
 // Not thread-safe.
 //
-// A worker's report counts the running requests of all models and all nodes, this node's own too,
-// and lags behind. Others' requests are estimated as the report's figure less the most that this
-// node itself had running there over the last two reports, so that a late report never counts own
-// requests that ended since.
+// The report of a worker counts the running requests of all models and all nodes, including this
+// node, and lags behind. The requests of other nodes are estimated as the reported number minus the
+// maximum that this node had running there over the last two reports. A late report therefore never
+// counts own requests that have ended since.
 class WorkerLoads {
  public:
   explicit WorkerLoads(CircuitBreakerOptions options) : options_(options) {}
 
-  // A place at the replica is taken; to be given back by Release.
+  // Reserves capacity for one request at the replica, until Release.
   void Reserve(const WorkerId& worker, const ModelName& model);
   void Release(const WorkerId& worker, const ModelName& model);
 
-  // Whether one more request of the model may go there. Others' requests are shared out evenly
-  // among the worker's ready replicas. One request of this node may always go, so that no report
-  // can starve it; the engine queues what is too much.
+  // Returns whether one more request of the model may be sent to the worker. The requests of other
+  // nodes are divided evenly among its ready replicas. One request of this node is always allowed,
+  // so that no report can starve it; the engine queues any excess.
   bool HasRoom(const KnownWorker& worker, const ModelName& model, std::uint32_t max_concurrency);
-  // Own requests and the estimate of others'.
+  // Returns the requests of this node plus the estimate for other nodes.
   std::uint32_t LoadOf(const KnownWorker& worker);
-  // The breaker of this incarnation of the worker; a restarted engine starts with a fresh one.
+  // Returns the circuit breaker for this incarnation of the worker. A restarted engine starts with
+  // a closed one.
   CircuitBreaker& BreakerOf(const KnownWorker& worker);
-  // Null when nothing is known of the worker.
+  // Returns null if the worker is unknown.
   CircuitBreaker* FindBreaker(const WorkerId& worker);
 
-  // Drops what is kept of workers that the directory does not know, when nothing runs there.
+  // Removes the entries of workers that the directory does not know and at which no request of this
+  // node runs.
   void ForgetUnknown(const ReplicaDirectory& directory);
 
-  // Own running requests over all workers and models.
+  // Number of running requests of this node over all workers and models.
   std::size_t running() const;
 
  private:
@@ -51,15 +53,15 @@
     CircuitBreaker breaker;
     WorkerIncarnation incarnation;
     std::uint32_t own = 0;
-    // Most own requests since the last report, and between the two before.
+    // Maximum of `own` since the last report, and between the two reports before it.
     std::uint32_t peak = 0;
-    std::uint32_t earlier_peak = 0;
+    std::uint32_t previous_peak = 0;
     std::uint32_t others = 0;
     absl::Time reported_at = absl::InfinitePast();
   };
 
   Entry& EntryOf(const WorkerId& worker);
-  void AbsorbReport(const KnownWorker& worker, Entry* entry);
+  void ApplyReport(const KnownWorker& worker, Entry* entry);
 
   CircuitBreakerOptions options_;
   absl::flat_hash_map<WorkerId, Entry> workers_;
--- a/src/routing/circuit_breaker.cc
+++ b/src/routing/circuit_breaker.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr int kMaximumOpenFactor = 10;
-// Beyond this many failed trials the factor is at its maximum.
+// Number of failed trials from which the factor stays at its maximum.
 constexpr int kMaximumDoublings = 4;
 
 }  // namespace
@@ -17,25 +17,25 @@
   if (!open()) {
     return;
   }
-  trial_under_way_ = true;
-  // A trial that takes long does not keep further trials away for ever.
+  trial_in_flight_ = true;
+  // A trial that never ends must not block further trials.
   next_trial_ = now + OpenFor();
 }
 
 void CircuitBreaker::OnSuccess() {
   failures_ = 0;
   failed_trials_ = 0;
-  trial_under_way_ = false;
+  trial_in_flight_ = false;
 }
 
 void CircuitBreaker::OnFailure(absl::Time now) {
   const bool was_open = open();
   ++failures_;
-  if (was_open && !trial_under_way_) {
-    return;  // It was sent before the circuit opened.
+  if (was_open && !trial_in_flight_) {
+    return;  // The request was sent before the circuit opened.
   }
-  if (trial_under_way_) {
-    trial_under_way_ = false;
+  if (trial_in_flight_) {
+    trial_in_flight_ = false;
     ++failed_trials_;
   }
   if (open()) {
@@ -44,8 +44,8 @@
 }
 
 void CircuitBreaker::OnAbandoned() {
-  if (trial_under_way_) {
-    trial_under_way_ = false;
+  if (trial_in_flight_) {
+    trial_in_flight_ = false;
     next_trial_ = absl::InfinitePast();
   }
 }
--- a/src/routing/load_balancer.cc
+++ b/src/routing/load_balancer.cc
@@ -5,7 +5,7 @@
 namespace hingespan {
 namespace {
 
-// The same on every node, so that all routers send one prefix to one replica.
+// Every node computes the same result, so all routers send one prefix to one replica.
 std::size_t PreferredByPrefix(const std::vector<Candidate>& candidates, std::uint64_t prefix_hash) {
   const RendezvousKey key(prefix_hash);
   std::size_t preferred = 0;
@@ -22,7 +22,8 @@
   return candidates[right].load < candidates[left].load ? right : left;
 }
 
-// The less loaded of two distinct candidates, neither of them `excluded` (candidates.size(): none).
+// Returns the less loaded of two distinct random candidates other than `excluded`;
+// candidates.size() excludes none.
 std::size_t LessLoadedOfTwo(const std::vector<Candidate>& candidates, std::size_t excluded,
                             Random* random) {
   std::vector<std::size_t> eligible;
@@ -53,8 +54,8 @@
   }
   const std::size_t preferred = PreferredByPrefix(candidates, prefix_hash);
   const std::size_t other = LessLoadedOfTwo(candidates, preferred, random);
-  const std::uint64_t bearable = std::uint64_t{candidates[other].load} + affinity_slack;
-  return candidates[preferred].load <= bearable ? preferred : other;
+  const std::uint64_t maximum_load = std::uint64_t{candidates[other].load} + affinity_slack;
+  return candidates[preferred].load <= maximum_load ? preferred : other;
 }
 
 }  // namespace hingespan
--- a/src/routing/replica_directory.cc
+++ b/src/routing/replica_directory.cc
@@ -11,7 +11,7 @@
   return KnownReplica{entry.generation, entry.state, now + absl::Milliseconds(entry.ready_in_ms)};
 }
 
-// Expected times are estimates, so a new one alone is not a change of the replica.
+// Expected times are estimates, so a new one alone does not change the replica.
 bool SameReplica(const KnownReplica& left, const KnownReplica& right) {
   return left.generation == right.generation && left.state == right.state;
 }
@@ -40,7 +40,7 @@
     return changed;
   }
   const bool could_receive = MayReceiveWork(*worker, now);
-  // A change announced after this report may have come before it.
+  // A replica update of a later version may have overtaken this report.
   const ReplicaListVersion version = std::max(worker->report.version, report.version);
   worker->report = report;
   worker->report.version = version;
@@ -117,8 +117,8 @@
   if (worker == nullptr || list.version < worker->version) {
     return changed;
   }
-  const bool is_news = list.version > worker->version || !worker->complete;
-  if (!is_news || !AddPart(list)) {
+  const bool is_newer = list.version > worker->version || !worker->complete;
+  if (!is_newer || !AddPart(list)) {
     return changed;
   }
   for (ModelName& model : ReplaceReplicas(worker, now)) {
@@ -203,9 +203,10 @@
     return &worker;
   }
   if (inserted || report.incarnation != incarnation) {
-    EraseAllReplicas(&worker, changed);  // A new engine process holds nothing of the old one's.
+    // A new engine process holds no replicas of the previous one.
+    EraseAllReplicas(&worker, changed);
   }
-  worker.complete = false;  // The same engine's old list serves until the new keeper's is known.
+  worker.complete = false;  // The old list stays in use until the new keeper's list arrives.
   report.incarnation = incarnation;
   report.epoch = epoch;
   report.version = ReplicaListVersion();
@@ -225,7 +226,7 @@
   RequestList(worker.report.worker, now, outbox);
 }
 
-// True once all parts of the list are there.
+// Returns true once all parts of the list were received.
 bool ReplicaDirectory::AddPart(const ReplicaList& list) {
   if (list.part >= list.parts) {
     return false;
--- a/src/routing/request_router.cc
+++ b/src/routing/request_router.cc
@@ -77,14 +77,13 @@
   if (state.stage != Stage::kRunning && state.stage != Stage::kForwarded) {
     return;
   }
-  // `request` may refer to a state that ends below.
-  // NOLINTNEXTLINE(performance-unnecessary-copy-initialization)
+  // Copied, as `request` may refer to a state that is erased below.
   const RequestId request_id = request;
   const ModelName model = state.request.model;
   if (state.stage == Stage::kRunning) {
     OnWorkerOutcome(&state, outcome, now);
   }
-  LeavePlace(&state);
+  ReleaseReservation(&state);
   switch (outcome) {
     case AttemptOutcome::kComplete:
       state.may_have_run = true;
@@ -112,11 +111,11 @@
       break;
     case AttemptOutcome::kFailedBeforeOutput:
       state.may_have_run = true;
-      AfterFailure(request_id, true, now, wall_time, outbox);
+      RetryOrRefuse(request_id, true, now, wall_time, outbox);
       break;
     case AttemptOutcome::kNotRun:
     case AttemptOutcome::kNotLoaded:
-      AfterFailure(request_id, false, now, wall_time, outbox);
+      RetryOrRefuse(request_id, false, now, wall_time, outbox);
       break;
   }
   DispatchWaiting(model, now, wall_time, outbox);
@@ -148,7 +147,7 @@
                          absl::Time wall_time, Outbox* outbox) {
   HandleClaims(now, wall_time, outbox);
   ExpireWaits(now);
-  RefuseVanishedRows();
+  RefuseUnservableModels();
   std::vector<ModelName> waiting_models;
   for (const auto& [model, state] : models_) {
     waiting_models.push_back(model);
@@ -177,8 +176,8 @@
   State& state = requests_.at(request);
   state.stage = Stage::kWaiting;
   const auto known = models_.find(row.name);
-  const bool nobody_waits = known == models_.end() || known->second.queue.empty();
-  if (nobody_waits) {
+  const bool queue_empty = known == models_.end() || known->second.queue.empty();
+  if (queue_empty) {
     const std::optional<WorkerId> worker = ChooseWorker(state, row, now);
     if (worker.has_value()) {
       state.admitted = true;
@@ -190,7 +189,7 @@
   if (first_try && directory_->ReadyWorkers(row.name, now).empty()) {
     ++counters_.cold;
   }
-  // One that was let in before is not refused for a queue that has filled up since.
+  // A request that was admitted before is not refused because the queue has filled up since.
   const std::size_t limit = first_try ? row.max_queue : kNoLimit;
   ModelState& model = models_[row.name];
   if (!model.queue.Push(request, state.request.priority, state.request.deadline, limit)) {
@@ -223,7 +222,7 @@
 
 std::optional<WorkerId> RequestRouter::ChooseWorker(const State& state, const ModelRow& row,
                                                     absl::Time now) {
-  std::vector<Candidate> fresh;
+  std::vector<Candidate> untried;
   std::vector<Candidate> failed_before;
   for (const WorkerId& worker_id : directory_->ReadyWorkers(row.name, now)) {
     const KnownWorker& worker = *directory_->Find(worker_id);
@@ -232,10 +231,10 @@
       continue;
     }
     const bool failed = absl::c_linear_search(state.failed_workers, worker_id);
-    std::vector<Candidate>& candidates = failed ? failed_before : fresh;
+    std::vector<Candidate>& candidates = failed ? failed_before : untried;
     candidates.push_back({worker_id, loads_.LoadOf(worker)});
   }
-  const std::vector<Candidate>& candidates = fresh.empty() ? failed_before : fresh;
+  const std::vector<Candidate>& candidates = untried.empty() ? failed_before : untried;
   if (candidates.empty()) {
     return std::nullopt;
   }
@@ -277,7 +276,7 @@
   decisions_.push_back(std::move(decision));
 }
 
-void RequestRouter::LeavePlace(State* state) {
+void RequestRouter::ReleaseReservation(State* state) {
   if (state->worker.empty()) {
     return;
   }
--- a/src/routing/request_router_claims.cc
+++ b/src/routing/request_router_claims.cc
@@ -13,7 +13,7 @@
 }  // namespace
 
 void RequestRouter::HandleClaims(absl::Time now, absl::Time wall_time, Outbox* outbox) {
-  // Each round can begin claims that a local owner decides at once.
+  // Handling a decision can start claims that the local owner decides at once.
   std::vector<ClaimDecision> decisions = claimant_->TakeDecisions();
   while (!decisions.empty()) {
     for (const ClaimDecision& decision : decisions) {
@@ -38,7 +38,7 @@
   }
   State& state = requests_.at(decision.attempt);
   const ModelName model = state.request.model;
-  LeavePlace(&state);
+  ReleaseReservation(&state);
   state.stage = Stage::kWaiting;
   if (decision.verdict != ClaimVerdict::kGranted) {
     RefuseUnclaimed(decision.attempt, decision.verdict);
@@ -62,7 +62,7 @@
     Dispatch(state, *worker, now);
     return;
   }
-  // The replica has gone meanwhile.
+  // The replica became unavailable while the claim was pending.
   ModelState& model = models_[request.model];
   model.queue.Push(request.request, request.priority, request.deadline, kNoLimit);
   model.waiting_since = std::min(model.waiting_since, now);
--- a/src/routing/request_router_ends.cc
+++ b/src/routing/request_router_ends.cc
@@ -1,4 +1,4 @@
-// How attempts and requests end: retries, deadlines, refusals.
+// Ends of attempts and requests: retries, deadlines, refusals.
 #include <utility>
 
 #include "absl/algorithm/container.h"
@@ -32,9 +32,9 @@
   }
 }
 
-// The latest attempt failed: tries again where that is safe, else refuses.
-void RequestRouter::AfterFailure(const RequestId& request, bool may_have_run, absl::Time now,
-                                 absl::Time wall_time, Outbox* outbox) {
+// Retries a request whose latest attempt failed if that is safe, otherwise refuses it.
+void RequestRouter::RetryOrRefuse(const RequestId& request, bool may_have_run, absl::Time now,
+                                  absl::Time wall_time, Outbox* outbox) {
   State& state = requests_.at(request);
   if (state.cancelled) {
     Refuse(request, RefusalCode::kCancelled, kNoRetry, "the caller went away");
@@ -50,11 +50,12 @@
   }
   if (!may_have_run && state.stage == Stage::kRunning &&
       !AnyWorkerAllowed(state.request.model, now)) {
-    // It waits for a replica like one that was never sent: what failed is not its own attempt.
+    // No ready worker may be tried now, so the request waits like one that was never sent. The
+    // failed dispatch does not count as an attempt.
     --state.attempts;
   }
-  const bool attempts_used_up = state.attempts >= options_.maximum_attempts;
-  if (attempts_used_up || (may_have_run && !retry_budget_.TryRetry())) {
+  const bool attempts_exhausted = state.attempts >= options_.maximum_attempts;
+  if (attempts_exhausted || (may_have_run && !retry_budget_.TryRetry())) {
     Refuse(request, RefusalCode::kEngineFailed, kDefaultRetryAfter, "no retry left");
     return;
   }
@@ -103,8 +104,8 @@
          "the time limit ran out while waiting");
 }
 
-// Rows that were deleted, or set to no replicas, while requests wait for them.
-void RequestRouter::RefuseVanishedRows() {
+// Refuses the waiting requests of rows that were deleted or set to no replicas.
+void RequestRouter::RefuseUnservableModels() {
   for (const auto& [model, state] : models_) {
     const auto row = store_->FindRow(model);
     if (row == nullptr) {
@@ -129,7 +130,7 @@
 void RequestRouter::Refuse(const RequestId& request, RefusalCode code, absl::Duration retry_after,
                            std::string detail) {
   const State& state = requests_.at(request);
-  const bool only_this_attempt = state.claimed && !state.may_have_run;
+  const bool holds_unused_claim = state.claimed && !state.may_have_run;
   RouteDecision decision;
   decision.request = request;
   decision.refusal.code = code;
@@ -142,8 +143,8 @@
       decision.refusal.retry_after = kNoRetry;
     }
   }
-  // Nothing is known of other attempts with the key unless this one holds the claim.
-  if (!state.request.key.empty() && !only_this_attempt) {
+  // Other attempts with the key may have run, unless this attempt holds the claim.
+  if (!state.request.key.empty() && !holds_unused_claim) {
     decision.refusal.key = RunState::kMayHaveRun;
   }
   ++counters_.refused[code];
@@ -163,7 +164,7 @@
   const auto found = requests_.find(request);
   State& state = found->second;
   const IdempotencyKey& key = state.request.key;
-  LeavePlace(&state);
+  ReleaseReservation(&state);
   if (state.stage == Stage::kWaiting) {
     const auto model = models_.find(state.request.model);
     if (model != models_.end()) {
--- a/src/routing/request_router_sites.cc
+++ b/src/routing/request_router_sites.cc
@@ -1,4 +1,4 @@
-// Which zone, and which of its nodes, a request goes to.
+// Chooses the zone, and the node within it, to which a request is sent.
 #include <map>
 #include <utility>
 
@@ -11,7 +11,7 @@
 namespace hingespan {
 namespace {
 
-// Nodes of one zone that are tried before another zone is.
+// Maximum number of nodes of one zone that are tried before another zone is chosen.
 constexpr std::size_t kForwardsPerZone = 2;
 
 }  // namespace
@@ -76,13 +76,13 @@
   });
 }
 
-// Empty as well when enough nodes, of the zone or in all, were tried.
+// Returns no nodes if enough were tried already, in this zone or in all zones.
 std::vector<RemoteNode> RequestRouter::UntriedNodes(const State& state, const ZoneId& zone) const {
   const auto in_zone = [&zone](const RemoteNode& node) { return node.zone == zone; };
   const std::size_t tried_there = absl::c_count_if(state.tried_remotes, in_zone);
-  const auto tried_at_most = static_cast<std::size_t>(options_.maximum_attempts);
+  const auto maximum_tried = static_cast<std::size_t>(options_.maximum_attempts);
   std::vector<RemoteNode> untried;
-  if (tried_there >= kForwardsPerZone || state.tried_remotes.size() >= tried_at_most) {
+  if (tried_there >= kForwardsPerZone || state.tried_remotes.size() >= maximum_tried) {
     return untried;
   }
   for (const RemoteNode& node : remote_nodes_) {
--- a/src/routing/request_router_wakes.cc
+++ b/src/routing/request_router_wakes.cc
@@ -1,4 +1,4 @@
-// Wake requests to the models' placers, and what their replies mean for waiting requests.
+// Sends wake requests to the models' placers and applies their replies to waiting requests.
 #include <algorithm>
 #include <limits>
 
@@ -10,8 +10,8 @@
 
 std::uint32_t ToMilliseconds(absl::Duration duration) {
   const std::int64_t milliseconds = absl::ToInt64Milliseconds(duration);
-  const std::int64_t most = std::numeric_limits<std::uint32_t>::max();
-  return static_cast<std::uint32_t>(std::clamp<std::int64_t>(milliseconds, 0, most));
+  const std::int64_t maximum = std::numeric_limits<std::uint32_t>::max();
+  return static_cast<std::uint32_t>(std::clamp<std::int64_t>(milliseconds, 0, maximum));
 }
 
 }  // namespace
@@ -20,7 +20,7 @@
   const auto found = models_.find(reply.model);
   const bool can_serve = !directory_->ReadyWorkers(reply.model, now).empty();
   if (found == models_.end() || can_serve) {
-    return;  // Where a replica is ready, the reply is about one more.
+    return;  // With a ready replica, the reply concerns an additional one.
   }
   const absl::Duration expected_wait = absl::Milliseconds(reply.expected_wait_ms);
   switch (reply.outcome) {
@@ -31,7 +31,7 @@
       RefuseHopeless(reply.model, expected_wait, now);
       break;
     case WakeOutcome::kRefused:
-      // A placer that has not seen the row yet can't speak for it: ask again.
+      // A placer that does not have the row yet cannot decide; the wake request is repeated.
       if (reply.reason != WakeRefusal::kUnknownModel) {
         MoveToGrantedSites(reply.model, true);
         RefuseWaiting(reply.model, RefusalCode::kNoCapacity,
@@ -41,9 +41,9 @@
   }
 }
 
-// A zone that has no slot may have got waiting requests while no other zone could be reached, or
-// before any slot was granted: they go where a slot is now. So do requests that this zone's placer
-// refused.
+// Forwards waiting requests to zones that have a granted slot. Requests can wait in a zone without
+// a slot if they arrived while no other zone was reachable or before any slot was granted. Requests
+// that the placer of this zone refused are forwarded as well.
 void RequestRouter::MoveToGrantedSites(const ModelName& model, bool refused_here) {
   const auto row = store_->FindRow(model);
   if (row == nullptr || (!refused_here && HasGrantedSlot(model, zone_))) {
@@ -52,7 +52,7 @@
   WaitingQueue& queue = models_.at(model).queue;
   for (const RequestId& request : queue.Requests()) {
     State& state = requests_.at(request);
-    // A claim held here would be refused to the node of the other zone.
+    // A claim of this node would make the other node refuse the request.
     if (state.request.forwarded || state.claimed) {
       continue;
     }
@@ -122,7 +122,8 @@
   return directory_->ReadyWorkers(model, now).empty();
 }
 
-// The placer knows of a ready replica, this node does not: an update was lost.
+// Requests the replica lists of the granted workers in this zone, as an update was lost: the placer
+// knows a ready replica that this node does not know.
 void RequestRouter::RequestMissedLists(const ModelName& model, absl::Time now, Outbox* outbox) {
   const auto grant = store_->FindGrant(model);
   if (grant == nullptr) {
--- a/src/routing/retry_hints.h
+++ b/src/routing/retry_hints.h
@@ -1,4 +1,4 @@
-// What a refusal tells its caller about coming back.
+// Retry-after values of refusals.
 #ifndef HINGESPAN_SRC_ROUTING_RETRY_HINTS_H_
 #define HINGESPAN_SRC_ROUTING_RETRY_HINTS_H_
 
@@ -6,11 +6,12 @@
 
 namespace hingespan {
 
-// When to come back after a refusal that nothing better is known about.
+// Delay before a retry if nothing better is known.
 inline constexpr absl::Duration kDefaultRetryAfter = absl::Seconds(1);
-// After a refusal since the row allows no replica: an edit is in force everywhere by then.
+// Delay after a refusal because the row allows no replica. An edit of the row reaches all nodes
+// within this time.
 inline constexpr absl::Duration kEditRetryAfter = absl::Seconds(10);
-// No use in coming back with the same request.
+// The same request must not be retried.
 inline constexpr absl::Duration kNoRetry = absl::ZeroDuration();
 
 }  // namespace hingespan
--- a/src/routing/service_times.cc
+++ b/src/routing/service_times.cc
@@ -3,7 +3,7 @@
 namespace hingespan {
 namespace {
 
-// Weight of the newest time in the average.
+// Weight of the newest observation in the moving average.
 constexpr double kSmoothing = 0.2;
 constexpr absl::Duration kForgetAfter = absl::Minutes(10);
 constexpr absl::Duration kForgetInterval = absl::Minutes(1);
--- a/src/routing/site_choice.cc
+++ b/src/routing/site_choice.cc
@@ -6,8 +6,9 @@
 
 namespace {
 
-// The higher, the sooner a replica can be there. 0: no traffic may go there.
-int Standing(const SiteCandidate& site) {
+// Returns the rank of a zone: the higher, the sooner a replica can be ready there. 0 if it may get
+// no traffic.
+int SiteRank(const SiteCandidate& site) {
   if (site.weight == 0) {
     return 0;
   }
@@ -22,12 +23,12 @@
 std::optional<ZoneId> ChooseSite(const std::vector<SiteCandidate>& candidates, Random* random) {
   int best = 1;
   for (const SiteCandidate& site : candidates) {
-    best = std::max(best, Standing(site));
+    best = std::max(best, SiteRank(site));
   }
   std::vector<SiteCandidate> eligible;
   std::uint64_t total = 0;
   for (const SiteCandidate& site : candidates) {
-    if (Standing(site) == best) {
+    if (SiteRank(site) == best) {
       eligible.push_back(site);
       total += site.weight;
     }
--- a/src/routing/worker_loads.cc
+++ b/src/routing/worker_loads.cc
@@ -40,14 +40,14 @@
     return true;
   }
   Entry& entry = EntryOf(worker.report.worker);
-  AbsorbReport(worker, &entry);
+  ApplyReport(worker, &entry);
   const std::uint32_t others = entry.others / std::max<std::uint32_t>(1, ReadyReplicas(worker));
   return place->second + others < max_concurrency;
 }
 
 std::uint32_t WorkerLoads::LoadOf(const KnownWorker& worker) {
   Entry& entry = EntryOf(worker.report.worker);
-  AbsorbReport(worker, &entry);
+  ApplyReport(worker, &entry);
   return entry.own + entry.others;
 }
 
@@ -86,16 +86,16 @@
   return workers_.try_emplace(worker, options_).first->second;
 }
 
-void WorkerLoads::AbsorbReport(const KnownWorker& worker, Entry* entry) {
-  // A heartbeat says nothing of the load at its own time.
+void WorkerLoads::ApplyReport(const KnownWorker& worker, Entry* entry) {
+  // Heartbeats carry no load, so only a new report is applied.
   if (worker.reported_at <= entry->reported_at) {
     return;
   }
   entry->reported_at = worker.reported_at;
-  const std::uint32_t own_at_most = std::max(entry->peak, entry->earlier_peak);
+  const std::uint32_t own_at_most = std::max(entry->peak, entry->previous_peak);
   const std::uint32_t reported = worker.report.running;
   entry->others = reported > own_at_most ? reported - own_at_most : 0;
-  entry->earlier_peak = entry->peak;
+  entry->previous_peak = entry->peak;
   entry->peak = entry->own;
 }
 
--- a/tests/routing/choice_test.cc
+++ b/tests/routing/choice_test.cc
@@ -1,4 +1,4 @@
-// The pure choices: a replica, and a zone.
+// Choice of a replica and choice of a zone.
 #include <doctest/doctest.h>
 
 #include <map>
@@ -19,7 +19,7 @@
   return candidates;
 }
 
-TEST_CASE("one prefix goes to one replica, whatever the order, until that is loaded") {
+TEST_CASE("a prefix maps to one replica in any candidate order until that replica is loaded") {
   Random random(1);
   std::vector<Candidate> candidates = IdleCandidates(5);
   const std::size_t preferred = ChooseReplica(candidates, 77, kSlack, &random);
@@ -35,7 +35,7 @@
   CHECK(ChooseReplica(candidates, 77, kSlack, &random) != preferred);
 }
 
-TEST_CASE("without a prefix the most loaded replica is never taken, and all others are") {
+TEST_CASE("without a prefix every replica except the most loaded one is chosen") {
   Random random(2);
   std::vector<Candidate> candidates = IdleCandidates(4);
   candidates[2].load = 9;
@@ -48,7 +48,7 @@
   CHECK(ChooseReplica(IdleCandidates(1), 0, kSlack, &random) == 0);
 }
 
-TEST_CASE("zones are drawn by weight; without weight never") {
+TEST_CASE("zones are chosen by weight, and never without a weight") {
   Random random(3);
   const std::vector<SiteCandidate> candidates = {
       {ZoneId("a"), 3, true}, {ZoneId("b"), 0, true}, {ZoneId("c"), 1, true}};
@@ -61,7 +61,7 @@
   CHECK_FALSE(drawn.contains(ZoneId("b")));
 }
 
-TEST_CASE("a zone without a slot is passed over only while another has one") {
+TEST_CASE("a zone without a slot is skipped only while another zone has one") {
   Random random(4);
   const SiteCandidate without_slot{ZoneId("a"), 9, false};
   const SiteCandidate with_slot{ZoneId("b"), 1, true};
--- a/tests/routing/circuit_breaker_test.cc
+++ b/tests/routing/circuit_breaker_test.cc
@@ -16,7 +16,7 @@
   return breaker;
 }
 
-TEST_CASE("opens after failures in a row only") {
+TEST_CASE("opens only after consecutive failures") {
   CircuitBreaker breaker(kOptions);
   breaker.OnFailure(kStart);
   breaker.OnFailure(kStart);
@@ -29,7 +29,7 @@
   CHECK_FALSE(breaker.Allows(kStart));
 }
 
-TEST_CASE("lets one trial through; its success closes the circuit") {
+TEST_CASE("allows one trial, whose success closes the circuit") {
   CircuitBreaker breaker = OpenedAt(kStart);
   const absl::Time trial = kStart + kOptions.open_for;
   CHECK_FALSE(breaker.Allows(trial - absl::Nanoseconds(1)));
@@ -40,7 +40,7 @@
   CHECK(breaker.Allows(trial));
 }
 
-TEST_CASE("a failed trial doubles the wait, up to ten times") {
+TEST_CASE("each failed trial doubles the delay, up to ten times its start value") {
   CircuitBreaker breaker = OpenedAt(kStart);
   absl::Time now = kStart + kOptions.open_for;
   for (const int factor : {2, 4, 8, 10, 10}) {
@@ -53,13 +53,14 @@
   }
 }
 
-TEST_CASE("a failure of a request sent before the opening does not lengthen the wait") {
+TEST_CASE(
+    "a failure of a request that was sent before the circuit opened does not extend the delay") {
   CircuitBreaker breaker = OpenedAt(kStart);
   breaker.OnFailure(kStart + absl::Milliseconds(900));
   CHECK(breaker.Allows(kStart + kOptions.open_for));
 }
 
-TEST_CASE("an abandoned trial, or one that never ends, does not keep the circuit open") {
+TEST_CASE("an abandoned or unfinished trial does not keep the circuit open") {
   CircuitBreaker breaker = OpenedAt(kStart);
   const absl::Time trial = kStart + kOptions.open_for;
   breaker.OnDispatch(trial);
--- a/tests/routing/replica_directory_test.cc
+++ b/tests/routing/replica_directory_test.cc
@@ -62,7 +62,7 @@
   absl::Time now = kStart;
   Sender keeper;
 
-  // The worker is known, with kModel ready at version 1, and a next list may be asked for.
+  // The worker is known with kModel ready at version 1, and the next list may be requested.
   Fixture() {
     directory.Handle(kKeeper, keeper.Report(1), now, &outbox);
     directory.Handle(kKeeper, keeper.List(1, {kModel}), now);
@@ -70,22 +70,22 @@
     now += DirectoryOptions().list_request_interval;
   }
   bool Ready(const ModelName& model) const { return !directory.ReadyWorkers(model, now).empty(); }
-  std::vector<NodeId> TakeListRequests() { return TakeAsked<ReplicaListRequest>(); }
-  std::vector<NodeId> TakeReportRequests() { return TakeAsked<WorkerReportRequest>(); }
+  std::vector<NodeId> TakeListRequests() { return TakeRecipients<ReplicaListRequest>(); }
+  std::vector<NodeId> TakeReportRequests() { return TakeRecipients<WorkerReportRequest>(); }
   template <typename Request>
-  std::vector<NodeId> TakeAsked() {
-    std::vector<NodeId> asked;
+  std::vector<NodeId> TakeRecipients() {
+    std::vector<NodeId> recipients;
     for (const OutgoingMessage& message : outbox.messages) {
       if (std::holds_alternative<Request>(message.message)) {
-        asked.push_back(message.to);
+        recipients.push_back(message.to);
       }
     }
     outbox = Outbox();
-    return asked;
+    return recipients;
   }
 };
 
-TEST_CASE_FIXTURE(Fixture, "updates apply in order; repeated and late ones are ignored") {
+TEST_CASE_FIXTURE(Fixture, "updates apply in order, and repeated or late ones are ignored") {
   CHECK(Ready(kModel));
   const ReplicaUpdate loading = keeper.Update(2, kOther, ReplicaState::kLoading);
   CHECK(directory.Handle(kKeeper, loading, now, &outbox) == std::vector<ModelName>{kOther});
@@ -103,7 +103,8 @@
   CHECK(TakeListRequests().empty());
 }
 
-TEST_CASE_FIXTURE(Fixture, "a gap makes it ask the keeper for the list, at most so often") {
+TEST_CASE_FIXTURE(Fixture,
+                  "a missing version requests the list from the keeper, at a limited rate") {
   directory.Handle(kKeeper, keeper.Update(3, kOther, ReplicaState::kReady), now, &outbox);
   CHECK_FALSE(Ready(kOther));
   directory.Handle(kKeeper, keeper.Update(4, kOther, ReplicaState::kReady), now, &outbox);
@@ -119,7 +120,7 @@
   CHECK(TakeListRequests().empty());
 }
 
-TEST_CASE_FIXTURE(Fixture, "parts of different versions are never put together") {
+TEST_CASE_FIXTURE(Fixture, "parts of different versions are never combined") {
   directory.Handle(kKeeper, keeper.List(5, {kModel}, 0, 2), now);
   directory.Handle(kKeeper, keeper.List(6, {kOther}, 1, 2), now);
   CHECK_FALSE(Ready(kOther));
@@ -137,7 +138,7 @@
   next.epoch = 2;
   directory.Handle(kNextKeeper, next.Report(0), now, &outbox);
   CHECK(TakeListRequests() == std::vector<NodeId>{kNextKeeper});
-  CHECK(Ready(kModel));  // The old list serves until the new one comes.
+  CHECK(Ready(kModel));  // The old list stays in use until the new one arrives.
   WorkerReport stale = keeper.Report(9);
   stale.leaving = true;
   directory.Handle(kKeeper, stale, now, &outbox);
@@ -150,7 +151,7 @@
   CHECK_FALSE(Ready(kModel));
 }
 
-TEST_CASE_FIXTURE(Fixture, "a restarted engine holds nothing, whatever the old one held") {
+TEST_CASE_FIXTURE(Fixture, "a restarted engine holds no replicas of the previous incarnation") {
   Sender restarted = keeper;
   restarted.incarnation = 2;
   CHECK(directory.Handle(kKeeper, restarted.Report(0), now, &outbox) ==
@@ -160,7 +161,7 @@
   CHECK_FALSE(Ready(kModel));
 }
 
-TEST_CASE_FIXTURE(Fixture, "a leaving, unreachable or silent worker gets no work") {
+TEST_CASE_FIXTURE(Fixture, "a leaving, unreachable or silent worker gets no requests") {
   WorkerReport report = keeper.Report(1);
   report.leaving = true;
   CHECK(directory.Handle(kKeeper, report, now, &outbox) == std::vector<ModelName>{kModel});
@@ -183,7 +184,7 @@
   CHECK_FALSE(Ready(kModel));
 }
 
-TEST_CASE_FIXTURE(Fixture, "a late report takes no leave back") {
+TEST_CASE_FIXTURE(Fixture, "a late report does not cancel a leave") {
   WorkerReport earlier = keeper.Report(1);
   earlier.sequence = 4;
   WorkerReport leave = keeper.Report(1);
@@ -192,7 +193,7 @@
   directory.Handle(kKeeper, leave, now, &outbox);
   CHECK(directory.Handle(kKeeper, earlier, now, &outbox).empty());
   CHECK_FALSE(Ready(kModel));
-  // The next keeper counts from the start.
+  // The sequence of a new keeper starts anew.
   Sender next = keeper;
   next.epoch = 2;
   WorkerReport back = next.Report(1);
@@ -201,7 +202,7 @@
   CHECK(Ready(kModel));
 }
 
-TEST_CASE_FIXTURE(Fixture, "a leave that a later replica update has overtaken counts") {
+TEST_CASE_FIXTURE(Fixture, "a leave applies although a later replica update arrived before it") {
   WorkerReport leave = keeper.Report(1);
   leave.sequence = 5;
   leave.leaving = true;
@@ -212,7 +213,7 @@
   CHECK(TakeListRequests().empty());
 }
 
-TEST_CASE_FIXTURE(Fixture, "a worker that is forgotten and comes back is still leaving") {
+TEST_CASE_FIXTURE(Fixture, "a worker that was removed and is reported again is still leaving") {
   directory.MarkLeaving(kWorker, true);
   now += DirectoryOptions().forget_after + absl::Seconds(1);
   WorkerReport other = keeper.Report(0);
@@ -224,8 +225,8 @@
   CHECK_FALSE(Ready(kModel));
 }
 
-TEST_CASE_FIXTURE(Fixture,
-                  "a model the engine denies is forgotten until the keeper says otherwise") {
+TEST_CASE_FIXTURE(
+    Fixture, "a model that the engine does not hold is removed until the keeper lists it again") {
   directory.MarkNotLoaded(kWorker, kModel);
   CHECK_FALSE(Ready(kModel));
   now += DirectoryOptions().list_request_interval;
@@ -235,7 +236,8 @@
   CHECK(Ready(kModel));
 }
 
-TEST_CASE_FIXTURE(Fixture, "a worker silent for long is forgotten when a new one comes") {
+TEST_CASE_FIXTURE(
+    Fixture, "a worker that was silent for forget_after is removed when a new one is reported") {
   now += DirectoryOptions().forget_after + absl::Seconds(1);
   WorkerReport report = keeper.Report(0);
   report.worker = WorkerId("w2");
@@ -245,7 +247,7 @@
   CHECK_FALSE(Ready(kModel));
 }
 
-// kWorker is known, with report 5, and has been silent for nearly too long.
+// kWorker is known with report 5 and was last heard exactly report_timeout ago.
 struct HeartbeatFixture : Fixture {
   WorkerReport report = keeper.Report(1);
 
@@ -255,27 +257,28 @@
     outbox = Outbox();
     now += DirectoryOptions().report_timeout;
   }
-  std::vector<ModelName> Hear(const WorkerHeartbeat& heartbeat, const NodeId& from = kKeeper) {
+  std::vector<ModelName> Deliver(const WorkerHeartbeat& heartbeat, const NodeId& from = kKeeper) {
     return directory.Handle(from, heartbeat, now, &outbox);
   }
 };
 
-TEST_CASE_FIXTURE(HeartbeatFixture, "an unchanged worker stays usable by heartbeats alone") {
+TEST_CASE_FIXTURE(HeartbeatFixture, "heartbeats alone keep an unchanged worker usable") {
   for (int beat = 0; beat < 10; ++beat) {
-    CHECK(Hear(keeper.Heartbeat(1, 5)).empty());
+    CHECK(Deliver(keeper.Heartbeat(1, 5)).empty());
     CHECK(Ready(kModel));
     CHECK(outbox.messages.empty());
     now += DirectoryOptions().report_timeout;
   }
   now += absl::Nanoseconds(1);
   CHECK_FALSE(Ready(kModel));
-  // Back from silence: waiting requests hear of it.
-  CHECK(Hear(keeper.Heartbeat(1, 5)) == std::vector<ModelName>{kModel});
+  // The worker became usable again, so waiting requests must be dispatched.
+  CHECK(Deliver(keeper.Heartbeat(1, 5)) == std::vector<ModelName>{kModel});
   CHECK(Ready(kModel));
 }
 
-TEST_CASE_FIXTURE(HeartbeatFixture, "a heartbeat of a newer report asks for it, and confirms not") {
-  CHECK(Hear(keeper.Heartbeat(1, 6)).empty());
+TEST_CASE_FIXTURE(HeartbeatFixture,
+                  "a heartbeat for a newer report requests it and confirms nothing") {
+  CHECK(Deliver(keeper.Heartbeat(1, 6)).empty());
   CHECK(TakeReportRequests() == std::vector<NodeId>{kKeeper});
   now += absl::Nanoseconds(1);
   CHECK_FALSE(Ready(kModel));
@@ -283,33 +286,33 @@
   leave.sequence = 6;
   leave.leaving = true;
   directory.Handle(kKeeper, leave, now, &outbox);
-  Hear(keeper.Heartbeat(1, 6));
+  Deliver(keeper.Heartbeat(1, 6));
   CHECK(TakeReportRequests().empty());
   CHECK_FALSE(Ready(kModel));
 }
 
-TEST_CASE_FIXTURE(HeartbeatFixture, "a late heartbeat of an older report does nothing") {
-  CHECK(Hear(keeper.Heartbeat(1, 4)).empty());
+TEST_CASE_FIXTURE(HeartbeatFixture, "a heartbeat for an older report has no effect") {
+  CHECK(Deliver(keeper.Heartbeat(1, 4)).empty());
   CHECK(outbox.messages.empty());
   now += absl::Nanoseconds(1);
   CHECK_FALSE(Ready(kModel));
 }
 
-TEST_CASE_FIXTURE(HeartbeatFixture, "a heartbeat that names a newer list repairs a lost update") {
-  Hear(keeper.Heartbeat(2, 5));
+TEST_CASE_FIXTURE(HeartbeatFixture, "a heartbeat with a newer list version repairs a lost update") {
+  Deliver(keeper.Heartbeat(2, 5));
   CHECK(TakeListRequests() == std::vector<NodeId>{kKeeper});
   directory.Handle(kKeeper, keeper.List(2, {kModel, kOther}), now);
   CHECK(Ready(kOther));
-  Hear(keeper.Heartbeat(1, 5));
+  Deliver(keeper.Heartbeat(1, 5));
   now += DirectoryOptions().list_request_interval;
-  Hear(keeper.Heartbeat(2, 5));
+  Deliver(keeper.Heartbeat(2, 5));
   CHECK(outbox.messages.empty());
 }
 
-TEST_CASE_FIXTURE(HeartbeatFixture, "after a takeover the next keeper's heartbeats count") {
+TEST_CASE_FIXTURE(HeartbeatFixture, "after a takeover only the new keeper's heartbeats apply") {
   Sender next = keeper;
   next.epoch = 2;
-  Hear(next.Heartbeat(0, 1), kNextKeeper);
+  Deliver(next.Heartbeat(0, 1), kNextKeeper);
   CHECK(TakeReportRequests() == std::vector<NodeId>{kNextKeeper});
   WorkerReport first = next.Report(0);
   first.sequence = 1;
@@ -317,28 +320,29 @@
   directory.Handle(kNextKeeper, next.List(0, {kModel}), now);
   outbox = Outbox();
   now += DirectoryOptions().report_timeout;
-  Hear(keeper.Heartbeat(9, 9));
+  Deliver(keeper.Heartbeat(9, 9));
   CHECK(outbox.messages.empty());
   CHECK(directory.Find(kWorker)->keeper == kNextKeeper);
   now += absl::Nanoseconds(1);
   CHECK_FALSE(Ready(kModel));
 }
 
-// The update of a new epoch or incarnation carries no report.
-TEST_CASE_FIXTURE(HeartbeatFixture,
-                  "an update that overtakes the new keeper's report asks for it") {
+// An update with a new epoch or incarnation carries no report.
+TEST_CASE_FIXTURE(
+    HeartbeatFixture,
+    "an update that overtakes the new keeper's report makes the next heartbeat request it") {
   Sender next = keeper;
   next.epoch = 2;
   directory.Handle(kNextKeeper, next.Update(1, kOther, ReplicaState::kReady), now, &outbox);
   outbox = Outbox();
-  Hear(next.Heartbeat(1, 1), kNextKeeper);
+  Deliver(next.Heartbeat(1, 1), kNextKeeper);
   CHECK(TakeReportRequests() == std::vector<NodeId>{kNextKeeper});
 }
 
-TEST_CASE_FIXTURE(HeartbeatFixture, "an unknown worker's heartbeat asks for its report") {
+TEST_CASE_FIXTURE(HeartbeatFixture, "the heartbeat of an unknown worker requests its report") {
   WorkerHeartbeat other = keeper.Heartbeat(0, 1);
   other.worker = WorkerId("w2");
-  Hear(other);
+  Deliver(other);
   CHECK(TakeReportRequests() == std::vector<NodeId>{kKeeper});
   CHECK(directory.Find(other.worker) == nullptr);
 }
--- a/tests/routing/request_router_property_test.cc
+++ b/tests/routing/request_router_property_test.cc
@@ -1,5 +1,5 @@
-// Random submits, replica changes, outcomes, cancels, claim decisions and time: every request gets
-// exactly one end, in time.
+// Property test with random submits, replica changes, outcomes, cancellations, claim decisions and
+// time steps: every request ends exactly once, by its deadline.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -29,7 +29,7 @@
 
 struct Step {
   StepKind kind = StepKind::kTime;
-  // Picks among whatever the step applies to.
+  // Selects among the objects to which the step applies.
   std::uint32_t choice = 0;
 };
 
@@ -45,10 +45,10 @@
       rc::gen::set(&Step::choice));
 }
 
-// What the caller-facing side knows of a request.
+// State of a request as seen by its caller.
 struct Caller {
   RouteRequest request;
-  // A dispatch or a forward has no outcome yet.
+  // True while a dispatch or a forward has no outcome.
   bool attempt_open = false;
   bool dispatched_here = false;
   bool forwarded = false;
@@ -102,7 +102,7 @@
     CheckCounts();
   }
 
-  // Ends every attempt and lets all deadlines pass: nothing may be left.
+  // Ends every attempt and lets all deadlines pass; afterwards no request may be left.
   void Drain() {
     for (int round = 0; round < 3; ++round) {
       for (auto& [name, caller] : callers_) {
@@ -110,7 +110,7 @@
           FinishAs(&caller, AttemptOutcome::kComplete);
         }
       }
-      harness_.Tick(kPatience);
+      harness_.Tick(kRequestTimeout);
       TakeDecisions();
     }
     CheckCounts();
@@ -119,7 +119,7 @@
     }
     RC_ASSERT(harness_.router.active() == 0U);
     RC_ASSERT(harness_.router.waiting() == 0U);
-    RC_ASSERT(harness_.router.places_taken() == 0U);
+    RC_ASSERT(harness_.router.reservations() == 0U);
   }
 
  private:
@@ -201,11 +201,12 @@
 
   void ChangeSites(std::uint32_t choice) {
     ModelRow row = *harness_.store.FindRow(kModel);
-    row.weights = {{kHere, choice % 3}, {kThere, choice % 2}};
+    row.weights = {{kLocalZone, choice % 3}, {kRemoteZone, choice % 2}};
     harness_.PutRow(row);
     harness_.router.SetRemoteNodes({});
     if (choice % 5 != 0) {
-      harness_.router.SetRemoteNodes({{NodeId("x"), kThere, "x:1"}, {NodeId("y"), kThere, "y:1"}});
+      harness_.router.SetRemoteNodes(
+          {{NodeId("x"), kRemoteZone, "x:1"}, {NodeId("y"), kRemoteZone, "y:1"}});
     }
   }
 
@@ -225,8 +226,8 @@
   }
 
   static void CheckRefusal(const Caller& caller, const Refusal& refusal) {
-    const RunState truth = caller.may_have_run ? RunState::kMayHaveRun : RunState::kNotRun;
-    RC_ASSERT(refusal.attempt == truth);
+    const RunState expected = caller.may_have_run ? RunState::kMayHaveRun : RunState::kNotRun;
+    RC_ASSERT(refusal.attempt == expected);
   }
 
   void CheckAttempt(const Caller& caller, const RouteDecision& decision) const {
@@ -244,14 +245,14 @@
     }
   }
 
-  // Claims go out under the attempt's name and the node's.
+  // Claims are sent under a name built from the attempt and the node.
   bool IsGranted(const RequestId& request) const {
     const std::string prefix = request.value() + "@";
     const auto granted = granted_.lower_bound(RequestId(prefix));
     return granted != granted_.end() && granted->value().rfind(prefix, 0) == 0;
   }
 
-  // Right after a tick nothing waits that is due.
+  // Directly after a tick no overdue request is waiting.
   void CheckDeadlines() {
     TakeDecisions();
     for (const auto& [name, caller] : callers_) {
@@ -284,7 +285,7 @@
   std::set<RequestId> granted_;
 };
 
-TEST_CASE("property: each request has one end, in time, and what is said of it is true") {
+TEST_CASE("property: each request ends exactly once, by its deadline, with a correct run state") {
   constexpr std::size_t kRunsPerCase = 20;
   constexpr double kLongRuns = 4;
   CHECK(rc::check("one end", [] {
--- a/tests/routing/request_router_test.cc
+++ b/tests/routing/request_router_test.cc
@@ -17,7 +17,9 @@
 
 // --- Waiting ---------------------------------------------------------------------------------
 
-TEST_CASE_FIXTURE(Router, "a burst on a cold model: few wake requests, all served when ready") {
+TEST_CASE_FIXTURE(
+    Router,
+    "a burst on a cold model sends few wake requests and is served once a replica is ready") {
   constexpr int kBurst = 200;
   for (int index = 0; index < kBurst; ++index) {
     Submit("r" + std::to_string(index));
@@ -39,7 +41,7 @@
   PutReady("w2");
   int served = 0;
   for (auto decisions = Decisions(); !decisions.empty(); decisions = Decisions()) {
-    CHECK(decisions.size() <= 4);  // Two replicas of two places.
+    CHECK(decisions.size() <= 4);  // Two replicas with a concurrency of two.
     for (const auto& [request, decision] : decisions) {
       CHECK(decision.action == RouteAction::kDispatch);
       Finish(request, AttemptOutcome::kComplete);
@@ -48,11 +50,12 @@
   }
   CHECK(served == kBurst);
   CHECK(router.active() == 0);
-  CHECK(router.places_taken() == 0);
+  CHECK(router.reservations() == 0);
 }
 
-TEST_CASE_FIXTURE(Router,
-                  "waiting requests go by priority and deadline; a cancel frees the place") {
+TEST_CASE_FIXTURE(
+    Router,
+    "waiting requests are ordered by priority and deadline; a cancellation frees the queue entry") {
   ModelRow row = *store.FindRow(kModel);
   row.max_queue = 3;
   row.max_concurrency = 1;
@@ -79,23 +82,23 @@
   }
 }
 
-TEST_CASE_FIXTURE(Router, "a wait ends by a refusal at the first tick at its deadline") {
+TEST_CASE_FIXTURE(Router, "a waiting request is refused at the first tick at its deadline") {
   Submit("a");
-  Tick(kPatience - absl::Nanoseconds(1));
+  Tick(kRequestTimeout - absl::Nanoseconds(1));
   CHECK(Decisions().empty());
   Tick(absl::Nanoseconds(1));
   CheckRefusal(OnlyDecision(), RefusalCode::kWaitExpired, RunState::kNotRun);
   CHECK(router.active() == 0);
 }
 
-TEST_CASE_FIXTURE(Router, "a request that is due is not dispatched, also before the tick") {
+TEST_CASE_FIXTURE(Router, "a request past its deadline is not dispatched, even before the tick") {
   Submit("a");
-  now += kPatience;
+  now += kRequestTimeout;
   PutReady("w1");
   CheckRefusal(OnlyDecision(), RefusalCode::kWaitExpired, RunState::kNotRun);
 }
 
-TEST_CASE_FIXTURE(Router, "hopeless waits are refused at once with the expected wait") {
+TEST_CASE_FIXTURE(Router, "hopeless waits are refused at once and told the expected wait") {
   RouteRequest patient = MakeRequest("patient");
   patient.deadline += absl::Minutes(1);
   Submit("hasty");
@@ -105,9 +108,9 @@
                     static_cast<std::uint32_t>(absl::ToInt64Milliseconds(wait))};
     router.OnWakeReply(reply, now);
   };
-  loading_in(kPatience * options.hopeless_margin);
+  loading_in(kRequestTimeout * options.hopeless_margin);
   CHECK(Decisions().empty());
-  const absl::Duration too_long = kPatience * options.hopeless_margin + absl::Milliseconds(1);
+  const absl::Duration too_long = kRequestTimeout * options.hopeless_margin + absl::Milliseconds(1);
   loading_in(too_long);
   const RouteDecision refused = OnlyDecision();
   CHECK(refused.request == RequestId("hasty"));
@@ -116,11 +119,12 @@
   CHECK(router.waiting() == 1);
 }
 
-TEST_CASE_FIXTURE(Router, "a placer's refusal refuses all, unless a replica is ready here") {
+TEST_CASE_FIXTURE(
+    Router, "a placer's refusal refuses all waiting requests, unless a replica is ready here") {
   Submit("a");
   Submit("b");
   router.OnWakeReply({kModel, WakeOutcome::kRefused, WakeRefusal::kUnknownModel, 0}, now);
-  CHECK(Decisions().empty());  // That placer has not seen the row yet.
+  CHECK(Decisions().empty());  // The placer does not have the row yet.
   const WakeReply refused{kModel, WakeOutcome::kRefused, WakeRefusal::kNoMemory, 5000};
   router.OnWakeReply(refused, now);
   const auto decisions = Decisions();
@@ -136,7 +140,9 @@
   CHECK(router.waiting() == 1);
 }
 
-TEST_CASE_FIXTURE(Router, "with a ready replica the placer is asked once requests wait for long") {
+TEST_CASE_FIXTURE(
+    Router,
+    "with a ready replica the placer is asked only after requests have waited for an interval") {
   PutReady("w1");
   for (const std::string name : {"a", "b", "c"}) {
     Submit(name);
@@ -147,8 +153,8 @@
   CHECK(Take<WakeRequest>().size() == 1);
 }
 
-TEST_CASE_FIXTURE(Router, "a lost ready update is made good by the placer's reply") {
-  PutGrant({kHere});
+TEST_CASE_FIXTURE(Router, "the placer's reply repairs a lost ready update") {
+  PutGrant({kLocalZone});
   PutWorker(WorkerId("w1"), ReplicaState::kLoading);
   Submit("a");
   Tick(DirectoryOptions().list_request_interval);
@@ -160,7 +166,7 @@
   CHECK(OnlyDecision().action == RouteAction::kDispatch);
 }
 
-TEST_CASE_FIXTURE(Router, "what can't be admitted is refused at once") {
+TEST_CASE_FIXTURE(Router, "requests that cannot be admitted are refused at once") {
   RouteRequest unknown = MakeRequest("unknown");
   unknown.model = ModelName("nobody");
   Submit(unknown);
@@ -197,7 +203,7 @@
 
 // --- Workers ---------------------------------------------------------------------------------
 
-TEST_CASE_FIXTURE(Router, "a failing engine's circuit opens and another replica serves") {
+TEST_CASE_FIXTURE(Router, "the circuit of a failing engine opens and another replica serves") {
   PutReady("w1");
   PutReady("w2");
   constexpr int kRequests = 100;
@@ -218,7 +224,8 @@
   CHECK(router.counters().completed == kRequests);
 }
 
-TEST_CASE_FIXTURE(Router, "an open circuit holds requests back until its trial, or a restart") {
+TEST_CASE_FIXTURE(Router,
+                  "an open circuit delays requests until its trial or a restart of the engine") {
   PutReady("w1");
   Submit("a");
   for (int failure = 0; failure < options.circuit_breaker.failure_threshold; ++failure) {
@@ -248,7 +255,7 @@
   }
 }
 
-TEST_CASE_FIXTURE(Router, "a worker that does not hold the model is not asked again") {
+TEST_CASE_FIXTURE(Router, "a worker that does not hold the model gets no further requests for it") {
   PutReady("w1");
   Submit("a");
   OnlyDecision();
@@ -260,7 +267,7 @@
   CHECK(OnlyDecision().action == RouteAction::kDispatch);
 }
 
-TEST_CASE_FIXTURE(Router, "a leaving worker gets no new work; what runs there ends normally") {
+TEST_CASE_FIXTURE(Router, "a leaving worker gets no new requests; running ones end normally") {
   PutReady("w1");
   Submit("a");
   OnlyDecision();
@@ -274,7 +281,7 @@
   CHECK(OnlyDecision().worker == WorkerId("w2"));
 }
 
-TEST_CASE_FIXTURE(Router, "requests of other nodes leave less room, but never none") {
+TEST_CASE_FIXTURE(Router, "requests of other nodes reduce the capacity, but never to zero") {
   PutWorker(WorkerId("w1"), ReplicaState::kReady);
   WorkerReport report = directory.Find(WorkerId("w1"))->report;
   report.running = 7;
@@ -283,7 +290,7 @@
   Submit("a");
   Submit("b");
   CHECK(OnlyDecision().request == RequestId("a"));
-  report.running = 1;  // Only this node's own.
+  report.running = 1;  // Only the request of this node.
   now += absl::Seconds(1);
   directory.Handle(kPlacer, report, now, &outbox);
   Tick();
@@ -292,7 +299,7 @@
 
 // --- Failures --------------------------------------------------------------------------------
 
-TEST_CASE_FIXTURE(Router, "a request that may have run is run again only when it is repeatable") {
+TEST_CASE_FIXTURE(Router, "a request that may have run is retried only if it is repeatable") {
   PutReady("w1");
   Submit("repeatable");
   OnlyDecision();
@@ -315,7 +322,7 @@
   CHECK(router.active() == 0);
 }
 
-TEST_CASE_FIXTURE(Router, "a request that never ran says so after its last attempt") {
+TEST_CASE_FIXTURE(Router, "a request that never ran is refused as not run after its last attempt") {
   for (int worker = 0; worker < options.maximum_attempts; ++worker) {
     PutReady("w" + std::to_string(worker));
   }
@@ -327,13 +334,13 @@
   CheckRefusal(OnlyDecision(), RefusalCode::kEngineFailed, RunState::kNotRun);
 }
 
-TEST_CASE_FIXTURE(Router, "the only replica refuses: the request waits until its deadline") {
+TEST_CASE_FIXTURE(Router, "a request that the only replica refuses waits until its deadline") {
   PutReady("w1");
   Submit("a");
-  // 1, 2, 4, 8 and 10 s after the one before.
+  // The trials are 1, 2, 4, 8 and 10 s apart.
   constexpr int kTrials = 5;
   int dispatches = 0;
-  for (const absl::Time last = now + kPatience; now < last;) {
+  for (const absl::Time last = now + kRequestTimeout; now < last;) {
     for (const RouteDecision& decision : router.TakeDecisions()) {
       REQUIRE(decision.action == RouteAction::kDispatch);
       ++dispatches;
@@ -345,11 +352,12 @@
   }
   CheckRefusal(OnlyDecision(), RefusalCode::kWaitExpired, RunState::kNotRun);
   CHECK(router.active() == 0);
-  CHECK(router.places_taken() == 0);
+  CHECK(router.reservations() == 0);
   CHECK(dispatches == options.circuit_breaker.failure_threshold + kTrials);
 }
 
-TEST_CASE_FIXTURE(Router, "a request that waits again after a refusal ends as others that wait") {
+TEST_CASE_FIXTURE(Router,
+                  "a request that returns to the queue is treated like other waiting requests") {
   PutReady("w1");
   Submit("a");
   OnlyDecision();
@@ -373,7 +381,8 @@
   }
 }
 
-TEST_CASE_FIXTURE(Router, "a request that waits again is not refused for a queue filled up since") {
+TEST_CASE_FIXTURE(Router,
+                  "a request that returns to the queue is not refused if the queue is full") {
   ModelRow row = *store.FindRow(kModel);
   row.max_queue = 1;
   PutRow(row);
@@ -389,7 +398,7 @@
   CheckRefusal(OnlyDecision(), RefusalCode::kQueueFull, RunState::kNotRun);
 }
 
-TEST_CASE("retries after failures end with the budget") {
+TEST_CASE("retries stop when the retry budget is used up") {
   RouterOptions options;
   options.retry_budget = {0.0, 1.0};
   RouterHarness harness(options);
@@ -401,7 +410,7 @@
   CheckRefusal(harness.OnlyDecision(), RefusalCode::kEngineFailed, RunState::kMayHaveRun);
 }
 
-TEST_CASE_FIXTURE(Router, "a cancelled running request ends with its outcome") {
+TEST_CASE_FIXTURE(Router, "a cancelled running request ends when its outcome is reported") {
   PutReady("w1");
   Submit("a");
   Submit("b");
@@ -418,12 +427,13 @@
 
 // --- Claims ----------------------------------------------------------------------------------
 
-TEST_CASE_FIXTURE(Router, "a not-repeatable request is dispatched only after its claim") {
+TEST_CASE_FIXTURE(
+    Router, "a request that is not repeatable is dispatched only after its claim is granted") {
   PutReady("w1");
   Submit(MakeKeyed("a"));
   CHECK(Decisions().empty());
-  CHECK(router.places_taken() == 1);
-  SUBCASE("granted, and released when it provably does not run") {
+  CHECK(router.reservations() == 1);
+  SUBCASE("granted, and released if the request provably did not run") {
     AnswerClaims(ClaimOutcome::kGranted);
     for (int attempt = 0; attempt < options.maximum_attempts; ++attempt) {
       CHECK(OnlyDecision().action == RouteAction::kDispatch);
@@ -433,21 +443,21 @@
     }
     CHECK(Decisions().empty());
     CHECK(Take<ClaimRelease>().empty());
-    Tick(kPatience);
+    Tick(kRequestTimeout);
     const RouteDecision refused = OnlyDecision();
     CheckRefusal(refused, RefusalCode::kWaitExpired, RunState::kNotRun);
     CHECK(refused.refusal.key == RunState::kNotRun);
     CHECK(Take<ClaimRelease>().size() == 1);
     CHECK(Take<ClaimRequest>().empty());
   }
-  SUBCASE("granted, and kept when it may have run") {
+  SUBCASE("granted, and kept if the request may have run") {
     AnswerClaims(ClaimOutcome::kGranted);
     OnlyDecision();
     Finish("a", AttemptOutcome::kFailedBeforeOutput);
     CheckRefusal(OnlyDecision(), RefusalCode::kEngineFailed, RunState::kMayHaveRun);
     CHECK(Take<ClaimRelease>().empty());
   }
-  SUBCASE("taken by another attempt") {
+  SUBCASE("claimed by another attempt") {
     AnswerClaims(ClaimOutcome::kAlreadyClaimed);
     const RouteDecision refused = OnlyDecision();
     CheckRefusal(refused, RefusalCode::kKeyAlreadyClaimed, RunState::kNotRun);
@@ -457,14 +467,14 @@
     AnswerClaims(ClaimOutcome::kOutOfTime);
     CheckRefusal(OnlyDecision(), RefusalCode::kKeyOutOfTime, RunState::kNotRun);
   }
-  SUBCASE("undecided in the time for claims") {
+  SUBCASE("undecided until the claim timeout") {
     Tick(options.claim_time);
     const RouteDecision refused = OnlyDecision();
     CheckRefusal(refused, RefusalCode::kKeyUndecided, RunState::kNotRun);
     CHECK(refused.refusal.key == RunState::kMayHaveRun);
     CHECK(refused.refusal.retry_after > absl::ZeroDuration());
   }
-  SUBCASE("granted after the caller went away: released") {
+  SUBCASE("granted after the caller disconnected: released") {
     router.Cancel(RequestId("a"));
     CheckRefusal(OnlyDecision(), RefusalCode::kCancelled, RunState::kNotRun);
     CHECK(Take<ClaimRelease>().empty());
@@ -472,7 +482,7 @@
     CHECK(Decisions().empty());
     CHECK(Take<ClaimRelease>().size() == 1);
   }
-  SUBCASE("granted after the replica went away: waits for the next one, with the claim") {
+  SUBCASE("granted after the replica was removed: waits for another one and keeps the claim") {
     PutWorker(WorkerId("w1"), std::nullopt);
     AnswerClaims(ClaimOutcome::kGranted);
     CHECK(Decisions().empty());
@@ -493,10 +503,10 @@
   Tick(absl::Milliseconds(50));
   CheckRefusal(OnlyDecision(), RefusalCode::kWaitExpired, RunState::kNotRun);
   CHECK(Take<ClaimRelease>().size() == 1);
-  CHECK(router.places_taken() == 0);
+  CHECK(router.reservations() == 0);
 }
 
-TEST_CASE_FIXTURE(Router, "a claim that stays undecided does not hold a request beyond its time") {
+TEST_CASE_FIXTURE(Router, "an undecided claim does not keep a request past its deadline") {
   PutReady("w1");
   RouteRequest request = MakeKeyed("a");
   request.deadline = now + absl::Milliseconds(50);
@@ -504,12 +514,12 @@
   now = request.deadline;
   router.Tick([](const ModelName&) { return kPlacer; }, now, wall, &outbox);
   CheckRefusal(OnlyDecision(), RefusalCode::kWaitExpired, RunState::kNotRun);
-  CHECK(router.places_taken() == 0);
+  CHECK(router.reservations() == 0);
   AnswerClaims(ClaimOutcome::kGranted);
   CHECK(Take<ClaimRelease>().size() == 1);
 }
 
-TEST_CASE_FIXTURE(Router, "one key twice at its own owner: one attempt runs") {
+TEST_CASE_FIXTURE(Router, "of two attempts with one key at its owner, one runs") {
   PutClaimRange(kSelf);
   PutReady("w1");
   RouteRequest first = MakeKeyed("first");
@@ -531,8 +541,8 @@
 class TwoZones : public RouterHarness {
  public:
   TwoZones() {
-    SetWeights({{kThere, 1}});
-    router.SetRemoteNodes({{NodeId("x"), kThere, "x:1"}, {NodeId("y"), kThere, "y:1"}});
+    SetWeights({{kRemoteZone, 1}});
+    router.SetRemoteNodes({{NodeId("x"), kRemoteZone, "x:1"}, {NodeId("y"), kRemoteZone, "y:1"}});
   }
   void SetWeights(std::map<ZoneId, std::uint32_t> weights) {
     ModelRow row = *store.FindRow(kModel);
@@ -541,7 +551,7 @@
   }
 };
 
-TEST_CASE_FIXTURE(TwoZones, "a forward fails over to other nodes, then to other zones") {
+TEST_CASE_FIXTURE(TwoZones, "a failed forward is retried at other nodes, then in other zones") {
   Submit("a");
   const RouteDecision first = OnlyDecision();
   CHECK(first.action == RouteAction::kForward);
@@ -554,7 +564,7 @@
     CheckRefusal(OnlyDecision(), RefusalCode::kSiteUnavailable, RunState::kNotRun);
   }
   SUBCASE("this zone is left") {
-    SetWeights({{kHere, 1}, {kThere, 1}});
+    SetWeights({{kLocalZone, 1}, {kRemoteZone, 1}});
     Finish("a", AttemptOutcome::kNotRun);
     CHECK(Decisions().empty());
     CHECK(router.waiting() == 1);
@@ -566,7 +576,7 @@
   }
 }
 
-TEST_CASE_FIXTURE(TwoZones, "a not-repeatable forward that broke may have run") {
+TEST_CASE_FIXTURE(TwoZones, "a failed forward of a request that is not repeatable may have run") {
   Submit(MakeKeyed("a"));
   CHECK(OnlyDecision().action == RouteAction::kForward);
   CHECK(Take<ClaimRequest>().empty());
@@ -574,9 +584,10 @@
   CheckRefusal(OnlyDecision(), RefusalCode::kEngineFailed, RunState::kMayHaveRun);
 }
 
-TEST_CASE_FIXTURE(TwoZones, "what another zone's node refused for good is not sent elsewhere") {
-  SetWeights({{kThere, 1}});
-  PutGrant({kThere});
+TEST_CASE_FIXTURE(TwoZones,
+                  "a request that another zone's node refused finally is not sent elsewhere") {
+  SetWeights({{kRemoteZone, 1}});
+  PutGrant({kRemoteZone});
   Submit("a");
   CHECK(OnlyDecision().action == RouteAction::kForward);
   Finish("a", AttemptOutcome::kRefusedElsewhere);
@@ -586,27 +597,29 @@
   CHECK(router.counters().refused_elsewhere == 1);
 }
 
-TEST_CASE_FIXTURE(TwoZones, "forwarded requests are served here or refused, never sent on") {
+TEST_CASE_FIXTURE(TwoZones,
+                  "forwarded requests are served here or refused, never forwarded again") {
   RouteRequest request = MakeRequest("a");
   request.forwarded = true;
   Submit(request);
   CheckRefusal(OnlyDecision(), RefusalCode::kSiteUnavailable, RunState::kNotRun);
-  SetWeights({{kHere, 1}, {kThere, 99}});
-  PutGrant({kThere});
+  SetWeights({{kLocalZone, 1}, {kRemoteZone, 99}});
+  PutGrant({kRemoteZone});
   request.request = RequestId("b");
   Submit(request);
   CHECK(Decisions().empty());
   CHECK(router.waiting() == 1);
 }
 
-TEST_CASE_FIXTURE(TwoZones, "what waits in a zone without a slot is sent on when another has one") {
-  SetWeights({{kHere, 1000}, {kThere, 1}});
+TEST_CASE_FIXTURE(TwoZones,
+                  "a request waiting in a zone without a slot is forwarded to a zone with one") {
+  SetWeights({{kLocalZone, 1000}, {kRemoteZone, 1}});
   router.SetRemoteNodes({});
   Submit("a");
   CHECK(Decisions().empty());
   CHECK(router.waiting() == 1);
-  router.SetRemoteNodes({{NodeId("x"), kThere, "x:1"}});
-  PutGrant({kThere});
+  router.SetRemoteNodes({{NodeId("x"), kRemoteZone, "x:1"}});
+  PutGrant({kRemoteZone});
   SUBCASE("at the next wake") { Tick(absl::Milliseconds(300)); }
   SUBCASE("at the placer's refusal") {
     router.OnWakeReply({kModel, WakeOutcome::kRefused, WakeRefusal::kNoGrant, 0}, now);
@@ -615,14 +628,15 @@
   CHECK(router.waiting() == 0);
 }
 
-TEST_CASE_FIXTURE(TwoZones, "what this zone's placer refuses goes to another zone with a slot") {
-  SetWeights({{kHere, 1000}, {kThere, 1}});
+TEST_CASE_FIXTURE(TwoZones,
+                  "a request that this zone's placer refuses is forwarded to a zone with a slot") {
+  SetWeights({{kLocalZone, 1000}, {kRemoteZone, 1}});
   router.SetRemoteNodes({});
-  PutGrant({kHere, kThere});
+  PutGrant({kLocalZone, kRemoteZone});
   Submit("a");
   CHECK(router.waiting() == 1);
   SUBCASE("that can be reached") {
-    router.SetRemoteNodes({{NodeId("x"), kThere, "x:1"}});
+    router.SetRemoteNodes({{NodeId("x"), kRemoteZone, "x:1"}});
     router.OnWakeReply({kModel, WakeOutcome::kRefused, WakeRefusal::kNoMemory, 0}, now);
     CHECK(OnlyDecision().action == RouteAction::kForward);
     Finish("a", AttemptOutcome::kNotRun);
@@ -634,26 +648,26 @@
   }
 }
 
-TEST_CASE_FIXTURE(TwoZones, "a request that holds its claim here is not sent to another zone") {
-  SetWeights({{kHere, 1000}, {kThere, 1}});
+TEST_CASE_FIXTURE(TwoZones, "a request that holds its claim here is not forwarded") {
+  SetWeights({{kLocalZone, 1000}, {kRemoteZone, 1}});
   router.SetRemoteNodes({});
-  PutGrant({kHere, kThere});
+  PutGrant({kLocalZone, kRemoteZone});
   PutClaimRange(kSelf);
   PutReady("w");
   Submit(MakeKeyed("a"));
   CHECK(OnlyDecision().action == RouteAction::kDispatch);
   Finish("a", AttemptOutcome::kNotLoaded);
   REQUIRE(Decisions().empty());
-  router.SetRemoteNodes({{NodeId("x"), kThere, "x:1"}});
+  router.SetRemoteNodes({{NodeId("x"), kRemoteZone, "x:1"}});
   router.OnWakeReply({kModel, WakeOutcome::kRefused, WakeRefusal::kNoMemory, 0}, now);
   const RouteDecision refused = OnlyDecision();
   CheckRefusal(refused, RefusalCode::kNoCapacity, RunState::kNotRun);
   CHECK(refused.refusal.key == RunState::kNotRun);
 }
 
-TEST_CASE_FIXTURE(TwoZones, "a zone without a slot is passed over while another has one") {
-  SetWeights({{kHere, 1000}, {kThere, 1}});
-  PutGrant({kThere});
+TEST_CASE_FIXTURE(TwoZones, "the local zone without a slot is skipped while another zone has one") {
+  SetWeights({{kLocalZone, 1000}, {kRemoteZone, 1}});
+  PutGrant({kRemoteZone});
   Submit("a");
   CHECK(OnlyDecision().action == RouteAction::kForward);
   router.SetRemoteNodes({});
--- a/tests/routing/router_harness.h
+++ b/tests/routing/router_harness.h
@@ -1,4 +1,4 @@
-// A router with its directory, claimant and record store, driven by hand.
+// Test harness: a router with its directory, claimant and record store, and a simulated clock.
 #ifndef HINGESPAN_TESTS_ROUTING_ROUTER_HARNESS_H_
 #define HINGESPAN_TESTS_ROUTING_ROUTER_HARNESS_H_
 
@@ -17,11 +17,11 @@
 inline const NodeId kSelf("n1");
 inline const NodeId kPlacer("n2");
 inline const NodeId kClaimOwner("n3");
-inline const ZoneId kHere("z1");
-inline const ZoneId kThere("z2");
+inline const ZoneId kLocalZone("z1");
+inline const ZoneId kRemoteZone("z2");
 inline const ModelName kModel("m1");
 inline constexpr NodeIncarnation kIncarnation(1);
-inline constexpr absl::Duration kPatience = absl::Seconds(30);
+inline constexpr absl::Duration kRequestTimeout = absl::Seconds(30);
 
 class RouterHarness {
  public:
@@ -39,7 +39,7 @@
     store.Apply(after, after.Next(), {{key, after.Next(), std::move(record)}});
   }
   void PutRow(const ModelRow& row) { Put(RowKey(row.name), row); }
-  // Slots of kModel, one worker in each zone.
+  // Grants a slot of kModel in each of `zones`, each on one worker.
   void PutGrant(const std::vector<ZoneId>& zones) {
     GrantRecord grant;
     grant.model = kModel;
@@ -48,17 +48,18 @@
     }
     Put(GrantKey(kModel), grant);
   }
-  // All keys of a day around `wall` are decided by `owner`; one range only.
+  // Makes `owner` the owner of all keys issued within half a day of `wall`; there is one range.
   void PutClaimRange(const NodeId& owner) {
     const auto wall_ms = static_cast<std::uint64_t>(absl::ToUnixMillis(wall));
     constexpr std::uint64_t kHalfDayMs = 12 * 3600 * 1000;
     ClaimRangeRecord record;
-    record.segments.push_back({wall_ms - kHalfDayMs, owner, kIncarnation, kHere});
+    record.segments.push_back({wall_ms - kHalfDayMs, owner, kIncarnation, kLocalZone});
     record.until_ms = wall_ms + kHalfDayMs;
     Put(ClaimKey(record.range), record);
   }
 
-  // The keeper's report of a worker, with its list; without kModel unless `state` says otherwise.
+  // Delivers the keeper's report and replica list for a worker. The list holds kModel in `state`,
+  // or nothing if `state` is nullopt.
   void PutWorker(const WorkerId& worker, std::optional<ReplicaState> state, bool leaving = false,
                  std::uint64_t incarnation = 1) {
     const ReplicaListVersion version(++versions[worker]);
@@ -85,7 +86,7 @@
     RouteRequest request;
     request.request = RequestId(name);
     request.model = kModel;
-    request.deadline = now + kPatience;
+    request.deadline = now + kRequestTimeout;
     return request;
   }
   RouteRequest MakeKeyed(const std::string& name) {
@@ -114,7 +115,7 @@
     Tick();
   }
 
-  // Messages of one kind in the outbox, which loses them.
+  // Removes and returns the messages of type T in the outbox.
   template <typename T>
   std::vector<T> Take() {
     std::vector<T> taken;
@@ -129,7 +130,7 @@
     outbox.messages = std::move(left);
     return taken;
   }
-  // The decisions since the last call; the latest one of each request.
+  // Returns the decisions since the last call; for each request the latest one.
   std::map<std::string, RouteDecision> Decisions() {
     std::map<std::string, RouteDecision> decisions;
     for (RouteDecision& decision : router.TakeDecisions()) {
@@ -137,11 +138,12 @@
     }
     return decisions;
   }
-  // The only decision since the last call.
+  // Returns the only decision since the last call; throws unless there is exactly one.
   RouteDecision OnlyDecision() {
     std::vector<RouteDecision> decisions = router.TakeDecisions();
     if (decisions.size() != 1) {
-      throw std::logic_error("decisions: " + std::to_string(decisions.size()));
+      throw std::logic_error("expected exactly one decision, found " +
+                             std::to_string(decisions.size()));
     }
     return decisions.front();
   }
@@ -153,9 +155,10 @@
   ClaimOptions claim_options = {.range_count = 1};
   RecordStore store;
   ReplicaDirectory directory{DirectoryOptions{}};
-  ClaimOwner claim_owner{kSelf, kIncarnation, kHere, claim_options, &store, 1};
+  ClaimOwner claim_owner{kSelf, kIncarnation, kLocalZone, claim_options, &store, 1};
   Claimant claimant{kSelf, kIncarnation, claim_options, &store, &claim_owner};
-  RequestRouter router{kSelf, kHere, {kHere, kThere}, options, &store, &directory, &claimant, 5};
+  RequestRouter router{
+      kSelf, kLocalZone, {kLocalZone, kRemoteZone}, options, &store, &directory, &claimant, 5};
   Outbox outbox;
   std::map<WorkerId, std::uint64_t> versions;
 };
--- a/tests/routing/service_times_test.cc
+++ b/tests/routing/service_times_test.cc
@@ -6,7 +6,7 @@
 
 namespace hingespan {
 
-TEST_CASE("service times follow what was seen, and are forgotten") {
+TEST_CASE("service times follow the observations and expire") {
   const absl::Time start = absl::UnixEpoch();
   ServiceTimes times;
   CHECK(times.Find(kModel) == absl::ZeroDuration());
@@ -18,7 +18,7 @@
   CHECK(times.Find(kModel) == absl::ZeroDuration());
 }
 
-TEST_CASE_FIXTURE(RouterHarness, "wake requests carry the time that requests took") {
+TEST_CASE_FIXTURE(RouterHarness, "wake requests carry the observed service time") {
   PutReady("w1");
   for (const char* name : {"a", "b", "c"}) {
     Submit(name);
--- a/tests/routing/worker_loads_test.cc
+++ b/tests/routing/worker_loads_test.cc
@@ -1,4 +1,4 @@
-// Loads of workers, of which reports tell at long intervals only.
+// Worker loads, which are reported at long intervals only.
 #include "hingespan/routing/worker_loads.h"
 
 #include <doctest/doctest.h>
@@ -9,7 +9,7 @@
 const WorkerId kWorker("w1");
 const ModelName kModel("m1");
 
-TEST_CASE("a heartbeat does not make the reported load's age less") {
+TEST_CASE("a heartbeat does not make an old reported load count as new") {
   KnownWorker worker;
   worker.report.worker = kWorker;
   worker.reported_at = worker.heard_at = absl::FromUnixSeconds(1000);
@@ -17,7 +17,7 @@
   loads.Reserve(kWorker, kModel);
   worker.report.running = 1;
   CHECK(loads.LoadOf(worker) == 1);
-  // The own request ends; heartbeats confirm the same report.
+  // The request of this node ends; heartbeats confirm the same report.
   loads.Release(kWorker, kModel);
   for (int beat = 0; beat < 5; ++beat) {
     worker.heard_at += absl::Seconds(4);
