--- a/include/hingespan/admission/waiting_queue.h
+++ b/include/hingespan/admission/waiting_queue.h
@@ -1,4 +1,4 @@
-// Bounded queue of one model's waiting requests, by priority and deadline.
+// Bounded queue of one model's waiting requests, ordered by priority and deadline.
 #ifndef HINGESPAN_ADMISSION_WAITING_QUEUE_H_
 #define HINGESPAN_ADMISSION_WAITING_QUEUE_H_
 
@@ -13,7 +13,7 @@
 
 namespace hingespan {
 
-// Orders by priority (higher first), then deadline (earlier first), then arrival.
+// Sort key: priority (higher first), then deadline (earlier first), then arrival.
 struct WaitingKey {
   int priority = 0;
   absl::Time deadline;
@@ -33,24 +33,25 @@
 // Not thread-safe.
 class WaitingQueue {
  public:
-  // False when `limit` requests wait already.
+  // Adds a request. Returns false if `limit` requests are waiting or this request is already
+  // queued.
   bool Push(const RequestId& request, int priority, absl::Time deadline, std::size_t limit);
-  // Takes the first; nothing when empty.
+  // Removes and returns the first request; nullopt if the queue is empty.
   std::optional<RequestId> Pop();
-  // The first, without taking it.
+  // Returns the first request without removing it; nullopt if the queue is empty.
   std::optional<RequestId> Front() const;
-  // False when it does not wait.
+  // Removes a request. Returns false if it is not queued.
   bool Remove(const RequestId& request);
-  // Takes all whose deadline is at or before `now`.
+  // Removes and returns all requests whose deadline is at or before `now`, earliest deadline first.
   std::vector<RequestId> TakeExpired(absl::Time now);
 
   std::size_t size() const { return by_key_.size(); }
   bool empty() const { return by_key_.empty(); }
-  // InfiniteFuture when empty.
+  // Returns InfiniteFuture if the queue is empty.
   absl::Time earliest_deadline() const;
-  // InfinitePast when empty.
+  // Returns InfinitePast if the queue is empty.
   absl::Time latest_deadline() const;
-  // All that wait, in order.
+  // Returns all queued requests in order.
   std::vector<RequestId> Requests() const;
 
  private:
--- a/tests/admission/waiting_queue_test.cc
+++ b/tests/admission/waiting_queue_test.cc
@@ -30,7 +30,7 @@
   CHECK(queue.latest_deadline() == absl::InfinitePast());
 }
 
-TEST_CASE("refuses beyond its limit and a request that waits already") {
+TEST_CASE("rejects requests beyond the limit and requests that are already queued") {
   WaitingQueue queue;
   CHECK(queue.Push(RequestId("a"), 0, At(1), 2));
   CHECK_FALSE(queue.Push(RequestId("a"), 0, At(2), 2));
@@ -39,7 +39,7 @@
   CHECK(queue.size() == 2);
 }
 
-TEST_CASE("a removed request frees its place; others of its deadline stay") {
+TEST_CASE("a removed request frees its entry, and others with the same deadline stay") {
   WaitingQueue queue;
   queue.Push(RequestId("a"), 0, At(1), 2);
   queue.Push(RequestId("b"), 0, At(1), 2);
@@ -50,7 +50,7 @@
   CHECK(queue.Pop() == RequestId("c"));
 }
 
-TEST_CASE("takes the expired, whatever their priority, at their deadline and not before") {
+TEST_CASE("expired requests are removed at their deadline regardless of priority, and not before") {
   WaitingQueue queue;
   queue.Push(RequestId("a"), 0, At(2), kLimit);
   queue.Push(RequestId("b"), 9, At(1), kLimit);
