--- a/include/hingespan/claim/claim_owner.h
+++ b/include/hingespan/claim/claim_owner.h
@@ -1,5 +1,6 @@
-// Decides, for the key intervals that this incarnation of this node owns for ever, which attempt
-// may run a not-repeatable request. No clock takes part in a decision, so no pause can break it.
+// Decides which attempt may run a request that is not repeatable, for the key intervals that this
+// incarnation of this node owns permanently. No clock takes part in a decision, so no pause of the
+// process can make it wrong.
 #ifndef HINGESPAN_CLAIM_CLAIM_OWNER_H_
 #define HINGESPAN_CLAIM_CLAIM_OWNER_H_
 
@@ -19,55 +20,58 @@
 
 struct ClaimOptions {
   std::uint32_t range_count = 64;
-  // Key time is cut into intervals of this length; ownership is given interval by interval.
+  // Length of an interval of key time. Ownership is assigned interval by interval.
   absl::Duration interval = absl::Seconds(10);
-  // Ownership is given this long ahead. Longer bears longer outages of the platform; a dead owner's
-  // keys of that time are refused.
+  // Ownership is assigned this far ahead. A longer time tolerates longer outages of the platform,
+  // but keys of that time are refused if their owner dies.
   absl::Duration ahead = absl::Minutes(10);
-  // Claims on keys older than this are forgotten; such keys are refused.
+  // Claims on keys older than this are forgotten, and such keys are refused.
   absl::Duration remember = absl::Hours(1);
   // Keys issued further in the future than this are refused.
   absl::Duration future_skew = absl::Seconds(30);
-  // For tests only: grant without looking at earlier claims.
+  // For tests only: grant every claim without a check for earlier ones.
   bool disable_claims_for_test = false;
 };
 
-// Not thread-safe. Its platform calls carry CallOwner::kClaims. All nodes of a deployment must run
-// with the same `range_count`.
+// Not thread-safe. Its platform calls carry CallOwner::kClaims. All nodes of a deployment must use
+// the same `range_count`.
 class ClaimOwner {
  public:
   ClaimOwner(NodeId self, NodeIncarnation incarnation, ZoneId zone, ClaimOptions options,
              const RecordStore* store, std::uint64_t seed);
 
-  // Extends ownership of the ranges that this node holds the kKeyRange duty for (`my_ranges`), also
-  // when the platform's answers are lost. Spec action: GiveInterval.
+  // Extends ownership of the ranges for which this node holds the kKeyRange duty (`my_ranges`).
+  // Writes are retried, also if answers of the platform are lost.
+  // Spec action: GiveInterval.
   void Tick(const std::vector<KeyRangeId>& my_ranges, absl::Time wall_time, absl::Time now,
             Outbox* outbox);
   void HandleAnswer(const PlatformAnswer& answer, absl::Time now);
 
-  // Spec action: Claim. Idempotent for one attempt, until it is released: a released attempt is
-  // never granted again. The key's own time and range are decisive; a request that names others is
-  // refused.
+  // Spec action: Claim.
+  // Idempotent for one attempt until it is released: a released attempt is never granted again.
+  // Time and range are derived from the key; a request that names others is refused.
   ClaimOutcome Claim(const ClaimRequest& request, absl::Time wall_time);
-  // Spec action: Release. Also remembers an attempt whose claim comes later.
+  // Spec action: Release.
+  // Also remembers an attempt whose claim arrives later.
   void Release(const ClaimRelease& release);
 
-  // Planned stop: gives back intervals not begun yet, so that a successor can have them. From this
-  // call on Claim refuses their keys; Tick repeats the write until the record shows it. An interval
-  // in which a key was granted counts as begun, also when it lies in the future: keys come up to
-  // `future_skew` early. Spec action: GiveBack.
+  // Planned stop: returns the intervals that have not begun, so that a successor can own them. From
+  // this call on, Claim refuses their keys; Tick repeats the write until the record shows it. An
+  // interval in which a key was granted counts as begun even if it lies in the future, as keys may
+  // be issued up to `future_skew` early.
+  // Spec action: GiveBack.
   void GiveBack(absl::Time wall_time, absl::Time now, Outbox* outbox);
 
-  // Key time (milliseconds since 1970) up to which this owner still decides, after GiveBack; 0 when
-  // it owns no interval. A stopping node stays until then.
+  // Returns the key time (milliseconds since 1970) up to which this owner still decides after
+  // GiveBack; 0 if it owns no interval. A stopping node keeps running until then.
   std::uint64_t owned_until_ms() const;
 
-  // Claims remembered now.
+  // Number of stored claims.
   std::size_t claim_count() const { return claims_.size(); }
 
  private:
-  struct Held {
-    // Empty when the key is free (again).
+  struct KeyState {
+    // Attempt that holds the key; empty if the key is free.
     RequestId attempt;
     std::uint64_t key_time_ms = 0;
     std::vector<RequestId> released;
@@ -75,13 +79,14 @@
 
   ClaimSegment Self() const;
   bool Owns(KeyRangeId range, std::uint64_t key_time_ms) const;
-  // The entry of a key that this owner decides about; null when it does not.
-  Held* FindOrAdd(const IdempotencyKey& key, KeyRangeId range, std::uint64_t key_time_ms);
+  // Returns the entry of a key, added if necessary; null if this owner does not decide about the
+  // key.
+  KeyState* FindOrAdd(const IdempotencyKey& key, KeyRangeId range, std::uint64_t key_time_ms);
   void Extend(KeyRangeId range, std::uint64_t now_ms, absl::Time now, Outbox* outbox);
   void WriteGiveBacks(absl::Time now, Outbox* outbox);
   // Spec action: WriteKeys (table).
   void WriteRecord(const ClaimRangeRecord& record, absl::Time now, Outbox* outbox);
-  bool MayTry(KeyRangeId range, absl::Time now) const;
+  bool MayWrite(KeyRangeId range, absl::Time now) const;
   // Spec action: ForgetBefore.
   void ForgetBefore(std::uint64_t watermark_ms);
 
@@ -90,16 +95,16 @@
   ZoneId zone_;
   ClaimOptions options_;
   const RecordStore* store_;
-  absl::flat_hash_map<IdempotencyKey, Held> claims_;
+  absl::flat_hash_map<IdempotencyKey, KeyState> claims_;
   absl::btree_multimap<std::uint64_t, IdempotencyKey> claims_by_time_;
-  // Keys issued before this are refused for ever. Only grows.
+  // Keys issued before this time are refused permanently. Never decreases.
   std::uint64_t closed_before_ms_ = 0;
-  // Keys issued at or after this are refused once GiveBack was called.
+  // After GiveBack, keys issued at or after this time are refused.
   std::uint64_t given_back_from_ms_ = UINT64_MAX;
-  // The latest time of a key that was ever granted.
+  // Latest time of any granted key.
   std::uint64_t latest_granted_ms_ = 0;
   Random random_;
-  absl::flat_hash_map<KeyRangeId, absl::Time> next_try_;
+  absl::flat_hash_map<KeyRangeId, absl::Time> next_write_;
   absl::flat_hash_map<std::uint64_t, KeyRangeId> outstanding_;
   std::uint64_t next_call_ = 1;
 };
--- a/include/hingespan/claim/claimant.h
+++ b/include/hingespan/claim/claimant.h
@@ -1,5 +1,6 @@
-// The router's side of claims: finds the owner of a key, asks until it answers or time is up.
-// Keys that carry no time are claimed in the platform by insert-if-absent.
+// Claims keys on behalf of the router: finds the owner of a key and repeats the request until it
+// answers or the deadline passes. Keys without a time are claimed in the platform by
+// insert-if-absent.
 #ifndef HINGESPAN_CLAIM_CLAIMANT_H_
 #define HINGESPAN_CLAIM_CLAIMANT_H_
 
@@ -21,9 +22,10 @@
 
 enum class ClaimVerdict {
   kGranted,
-  // Another attempt has the key.
+  // Another attempt holds the key.
   kAlreadyClaimed,
-  // Nobody can decide in time (owner or platform can't be reached): not run.
+  // No decision before the deadline, as the owner or the platform could not be reached. The attempt
+  // was not run.
   kUndecided,
   // The key is too old, or issued in the future.
   kOutOfTime,
@@ -34,27 +36,27 @@
   ClaimVerdict verdict = ClaimVerdict::kUndecided;
 };
 
-// Not thread-safe. Its platform calls carry CallOwner::kClaimant. On the wire an attempt is named
-// together with this run of this node, so that a request id that comes again after a restart is
+// Not thread-safe. Its platform calls carry CallOwner::kClaimant. On the wire, an attempt is named
+// together with the node and its incarnation, so that a request id used again after a restart is
 // another attempt.
 //
-// A claim on a key without time whose outcome was still unknown at its deadline stays in the
-// platform if its last answer is lost too: such a key is refused from then on.
+// If the outcome of a claim on a key without a time is still unknown at its deadline, and its last
+// answer is lost too, the claim stays in the platform. The key is refused from then on.
 class Claimant {
  public:
   Claimant(NodeId self, NodeIncarnation incarnation, ClaimOptions options, const RecordStore* store,
            ClaimOwner* local_owner);
 
-  // Starts a claim; gives up at `deadline`. `attempt` must be new in this run of this node. The
-  // decision comes out of TakeDecisions, once.
+  // Starts a claim that is given up at `deadline`. `attempt` must be new in this incarnation of the
+  // node. TakeDecisions returns the decision once.
   // Spec actions: Begin; Claim is asked for here.
   void Begin(const RequestId& attempt, const IdempotencyKey& key, absl::Time deadline,
              absl::Time wall_time, absl::Time now, Outbox* outbox);
-  // The attempt was cancelled: no decision will be taken.
+  // Cancels a claim: no decision will be returned for it.
   // Spec action: GiveUp.
   void Forget(const RequestId& attempt);
-  // The attempt was granted and provably did not run. A release that is lost leaves the key
-  // claimed.
+  // Releases the claim of an attempt that was granted and provably did not run. If the release is
+  // lost, the key stays claimed.
   // Spec action: Release.
   void Release(const RequestId& attempt, const IdempotencyKey& key, Outbox* outbox);
 
@@ -69,9 +71,9 @@
     IdempotencyKey key;
     absl::Time deadline;
     absl::Time next_send;
-    // Not 0 while a platform call is under way.
+    // Id of the platform call in flight; 0 if there is none.
     std::uint64_t platform_call = 0;
-    // The insert's outcome is unknown: read the key before the next insert.
+    // True if the outcome of the insert is unknown: the key is read before the next insert.
     bool read_back = false;
   };
   enum class CallKind { kInsert, kReadBack, kReadForRelease, kDelete };
@@ -85,13 +87,14 @@
     IdempotencyKey key;
   };
 
-  void Ask(const RequestId& attempt, Pending* pending, absl::Time wall_time, absl::Time now,
-           Outbox* outbox);
-  void AskOwner(const RequestId& attempt, Pending* pending, std::uint64_t key_time_ms,
-                absl::Time wall_time, Outbox* outbox);
+  void SendClaim(const RequestId& attempt, Pending* pending, absl::Time wall_time, absl::Time now,
+                 Outbox* outbox);
+  void ClaimAtOwner(const RequestId& attempt, Pending* pending, std::uint64_t key_time_ms,
+                    absl::Time wall_time, Outbox* outbox);
   // Spec action: InsertClaim.
-  void AskPlatform(const RequestId& attempt, Pending* pending, Outbox* outbox);
-  // Spec action: GiveUp, at the deadline.
+  void ClaimInPlatform(const RequestId& attempt, Pending* pending, Outbox* outbox);
+  // Spec action: GiveUp.
+  // Called at the deadline.
   void GiveUp(const RequestId& attempt, Outbox* outbox);
   void DecideByOutcome(const RequestId& attempt, ClaimOutcome outcome);
   void Decide(const RequestId& attempt, ClaimVerdict verdict);
@@ -104,7 +107,8 @@
   void DeleteStored(const PlatformClaim& claim, TableRevision revision, Outbox* outbox);
   std::uint64_t SendCall(CallKind kind, const RequestId& attempt, const IdempotencyKey& key,
                          std::variant<Transaction, ReadCall> request, Outbox* outbox);
-  // The attempt's name on the wire and in the platform, and back; empty for another node's.
+  // Convert between an attempt and its name on the wire and in the platform. FromWireName returns
+  // an empty id for names of other nodes or incarnations.
   RequestId WireName(const RequestId& attempt) const;
   RequestId FromWireName(const RequestId& name) const;
 
@@ -113,10 +117,10 @@
   ClaimOptions options_;
   const RecordStore* store_;
   ClaimOwner* local_owner_;
-  // Ordered, so that equal schedules take equal steps.
+  // Ordered, so that equal schedules make equal steps.
   absl::btree_map<RequestId, Pending> pending_;
   absl::flat_hash_map<std::uint64_t, PlatformClaim> platform_calls_;
-  // Given up or cancelled: to be released at the next Tick.
+  // Cancelled claims, to be released at the next Tick.
   std::vector<Abandoned> abandoned_;
   std::vector<ClaimDecision> decisions_;
   std::uint64_t next_call_ = 1;
--- a/include/hingespan/claim/key_time.h
+++ b/include/hingespan/claim/key_time.h
@@ -1,4 +1,4 @@
-// The time and range that an idempotency key carries.
+// Time and range of an idempotency key.
 #ifndef HINGESPAN_CLAIM_KEY_TIME_H_
 #define HINGESPAN_CLAIM_KEY_TIME_H_
 
@@ -12,11 +12,11 @@
 
 namespace hingespan {
 
-// Milliseconds since 1970 of a UUID version 7; nothing for every other key.
+// Returns the time of a UUID version 7 in milliseconds since 1970; nullopt for every other key.
 std::optional<std::uint64_t> KeyTimeMs(const IdempotencyKey& key);
-// The range of a key: its hash modulo `range_count`.
+// Returns the range of a key: its hash modulo `range_count`.
 KeyRangeId RangeOf(const IdempotencyKey& key, std::uint32_t range_count);
-// A fresh UUID version 7.
+// Returns a new UUID version 7.
 IdempotencyKey MakeKey(absl::Time wall_time, Random* random);
 
 }  // namespace hingespan
--- a/src/claim/claim_owner.cc
+++ b/src/claim/claim_owner.cc
@@ -10,11 +10,13 @@
 namespace hingespan {
 namespace {
 
-// Writes begun by one Tick, so that many ranges do not meet the platform at one moment.
+// Maximum number of writes started by one Tick, so that many ranges do not load the platform at
+// once.
 constexpr int kWritesPerTick = 4;
-// How long a write is given to show up in the replica before it is tried again; a part is random.
+// Time after which a write that does not show in the record store is retried. A random part is
+// added.
 constexpr absl::Duration kRetryInterval = absl::Seconds(2);
-// A range is extended when less than this part of `ahead` is left.
+// A range is extended when less than `ahead` divided by this is left.
 constexpr std::uint64_t kExtendDivisor = 2;
 
 std::uint64_t Milliseconds(absl::Duration duration) {
@@ -59,10 +61,11 @@
   return segment != nullptr && SameOwner(*segment, Self());
 }
 
-ClaimOwner::Held* ClaimOwner::FindOrAdd(const IdempotencyKey& key, KeyRangeId range,
-                                        std::uint64_t key_time_ms) {
-  const bool genuine = KeyTimeMs(key) == key_time_ms && RangeOf(key, options_.range_count) == range;
-  if (!genuine || !Owns(range, key_time_ms)) {
+ClaimOwner::KeyState* ClaimOwner::FindOrAdd(const IdempotencyKey& key, KeyRangeId range,
+                                            std::uint64_t key_time_ms) {
+  const bool matches_key =
+      KeyTimeMs(key) == key_time_ms && RangeOf(key, options_.range_count) == range;
+  if (!matches_key || !Owns(range, key_time_ms)) {
     return nullptr;
   }
   const auto [entry, added] = claims_.try_emplace(key);
@@ -80,17 +83,17 @@
   if (request.key_time_ms < closed_before_ms_ || too_new) {
     return ClaimOutcome::kOutOfTime;
   }
-  Held* held = FindOrAdd(request.key, request.range, request.key_time_ms);
-  if (held == nullptr) {
+  KeyState* state = FindOrAdd(request.key, request.range, request.key_time_ms);
+  if (state == nullptr) {
     return ClaimOutcome::kNotOwner;
   }
-  const bool was_released = std::find(held->released.begin(), held->released.end(),
-                                      request.attempt) != held->released.end();
-  const bool taken = !held->attempt.empty() && held->attempt != request.attempt;
+  const bool was_released = std::find(state->released.begin(), state->released.end(),
+                                      request.attempt) != state->released.end();
+  const bool taken = !state->attempt.empty() && state->attempt != request.attempt;
   if ((was_released || taken) && !options_.disable_claims_for_test) {
     return ClaimOutcome::kAlreadyClaimed;
   }
-  held->attempt = request.attempt;
+  state->attempt = request.attempt;
   latest_granted_ms_ = std::max(latest_granted_ms_, request.key_time_ms);
   return ClaimOutcome::kGranted;
 }
@@ -99,16 +102,16 @@
   if (release.key_time_ms < closed_before_ms_) {
     return;
   }
-  Held* held = FindOrAdd(release.key, release.range, release.key_time_ms);
-  if (held == nullptr) {
+  KeyState* state = FindOrAdd(release.key, release.range, release.key_time_ms);
+  if (state == nullptr) {
     return;
   }
-  if (std::find(held->released.begin(), held->released.end(), release.attempt) ==
-      held->released.end()) {
-    held->released.push_back(release.attempt);
+  if (std::find(state->released.begin(), state->released.end(), release.attempt) ==
+      state->released.end()) {
+    state->released.push_back(release.attempt);
   }
-  if (held->attempt == release.attempt) {
-    held->attempt = RequestId();
+  if (state->attempt == release.attempt) {
+    state->attempt = RequestId();
   }
 }
 
@@ -136,7 +139,7 @@
   }
   const std::size_t limit = outbox->platform_calls.size() + kWritesPerTick;
   for (const KeyRangeId range : my_ranges) {
-    if (outbox->platform_calls.size() < limit && MayTry(range, now)) {
+    if (outbox->platform_calls.size() < limit && MayWrite(range, now)) {
       Extend(range, now_ms, now, outbox);
     }
   }
@@ -154,17 +157,17 @@
   extension.until_ms = RoundUp(now_ms + ahead_ms, interval_ms);
   extension.forget_before_ms =
       RoundDown(SubtractOrZero(now_ms, Milliseconds(options_.remember)), interval_ms);
-  WriteRecord(Extended(record, range, Self(), extension), now, outbox);
+  WriteRecord(ExtendRecord(record, range, Self(), extension), now, outbox);
 }
 
 void ClaimOwner::GiveBack(absl::Time wall_time, absl::Time now, Outbox* outbox) {
   if (given_back_from_ms_ == UINT64_MAX) {
-    // Keys before this may have been granted, or granted and forgotten.
+    // Keys before this time may have been granted, or granted and forgotten.
     const std::uint64_t begun_ms =
         std::max({Milliseconds(wall_time), latest_granted_ms_, closed_before_ms_});
     const std::uint64_t interval_ms = Milliseconds(options_.interval);
     given_back_from_ms_ = RoundDown(begun_ms, interval_ms) + interval_ms;
-    next_try_.clear();
+    next_write_.clear();
   }
   WriteGiveBacks(now, outbox);
 }
@@ -173,18 +176,18 @@
   for (std::uint32_t number = 0; number < options_.range_count; ++number) {
     const KeyRangeId range(number);
     const ClaimRangeRecord* record = store_->FindClaimRange(range);
-    if (record == nullptr || !MayTry(range, now)) {
+    if (record == nullptr || !MayWrite(range, now)) {
       continue;
     }
-    if (const auto shortened = WithoutFuture(*record, Self(), given_back_from_ms_)) {
+    if (const auto shortened = TruncateRecord(*record, Self(), given_back_from_ms_)) {
       WriteRecord(*shortened, now, outbox);
     }
   }
 }
 
-bool ClaimOwner::MayTry(KeyRangeId range, absl::Time now) const {
-  const auto next_try = next_try_.find(range);
-  return next_try == next_try_.end() || now >= next_try->second;
+bool ClaimOwner::MayWrite(KeyRangeId range, absl::Time now) const {
+  const auto next_write = next_write_.find(range);
+  return next_write == next_write_.end() || now >= next_write->second;
 }
 
 void ClaimOwner::WriteRecord(const ClaimRangeRecord& record, absl::Time now, Outbox* outbox) {
@@ -197,7 +200,7 @@
   call.owner = CallOwner::kClaims;
   call.request = std::move(transaction);
   outstanding_[call.call] = record.range;
-  next_try_[record.range] = now + kRetryInterval * (1 + random_.Fraction());
+  next_write_[record.range] = now + kRetryInterval * (1 + random_.Fraction());
   outbox->platform_calls.push_back(std::move(call));
 }
 
@@ -206,9 +209,9 @@
   if (answer.owner != CallOwner::kClaims || call == outstanding_.end()) {
     return;
   }
-  // Whatever the answer says, or when it is lost: the record that comes through the store decides.
+  // The outcome is taken from the record in the store, not from the answer, which may be lost.
   if (answer.error) {
-    next_try_[call->second] = now + kRetryInterval * (1 + random_.Fraction());
+    next_write_[call->second] = now + kRetryInterval * (1 + random_.Fraction());
   }
   outstanding_.erase(call);
 }
--- a/src/claim/claim_segments.cc
+++ b/src/claim/claim_segments.cc
@@ -27,8 +27,8 @@
   return left.owner == right.owner && left.incarnation == right.incarnation;
 }
 
-ClaimRangeRecord Extended(const ClaimRangeRecord* record, KeyRangeId range, ClaimSegment owner,
-                          const Extension& extension) {
+ClaimRangeRecord ExtendRecord(const ClaimRangeRecord* record, KeyRangeId range, ClaimSegment owner,
+                              const Extension& extension) {
   ClaimRangeRecord extended;
   extended.range = range;
   extended.until_ms = extension.until_ms;
@@ -44,18 +44,19 @@
   }
   const bool continues = !extended.segments.empty() && SameOwner(extended.segments.back(), owner);
   if (!continues) {
-    // From the end of what was given, also when that is past: a gap would otherwise seem to belong
-    // to the segment before it.
+    // The segment starts at the end of the assigned time, even if that is in the past. A gap would
+    // otherwise seem to belong to the preceding segment.
     owner.from_ms = std::max(record->until_ms, extension.forget_before_ms);
     extended.segments.push_back(std::move(owner));
   }
   return extended;
 }
 
-std::optional<ClaimRangeRecord> WithoutFuture(const ClaimRangeRecord& record,
-                                              const ClaimSegment& owner, std::uint64_t from_ms) {
-  const bool holds_the_end = !record.segments.empty() && SameOwner(record.segments.back(), owner);
-  if (!holds_the_end || record.until_ms <= from_ms) {
+std::optional<ClaimRangeRecord> TruncateRecord(const ClaimRangeRecord& record,
+                                               const ClaimSegment& owner, std::uint64_t from_ms) {
+  const bool owns_last_segment =
+      !record.segments.empty() && SameOwner(record.segments.back(), owner);
+  if (!owns_last_segment || record.until_ms <= from_ms) {
     return std::nullopt;
   }
   ClaimRangeRecord shortened = record;
--- a/src/claim/claimant.cc
+++ b/src/claim/claimant.cc
@@ -11,12 +11,13 @@
 namespace hingespan {
 namespace {
 
-// How often an owner or the platform is asked again.
-constexpr absl::Duration kAskInterval = absl::Milliseconds(100);
-// Added after the asked node said that it is not the owner: one of the two replicas is behind.
+// Interval at which the owner or the platform is asked again.
+constexpr absl::Duration kRetryInterval = absl::Milliseconds(100);
+// Added after a node answered that it is not the owner: the record store of one of the two nodes is
+// behind.
 constexpr absl::Duration kNotOwnerDelay = absl::Milliseconds(200);
 
-// Callers choose the bytes of their keys; the platform's keys are text.
+// Callers choose arbitrary bytes as keys, while the keys of the platform are text.
 std::string PlatformKey(const IdempotencyKey& key) {
   return absl::StrCat(kKeyPrefix, absl::CEscape(key.value()));
 }
@@ -31,7 +32,7 @@
       store_(store),
       local_owner_(local_owner) {}
 
-// --- Names --------------------------------------------------------------------------------------
+// --- Wire names ---------------------------------------------------------------------------------
 
 RequestId Claimant::WireName(const RequestId& attempt) const {
   return RequestId(absl::StrCat(attempt.value(), "@", self_.value(), "/", incarnation_.value()));
@@ -46,7 +47,7 @@
   return RequestId(std::string(attempt));
 }
 
-// --- Asking -------------------------------------------------------------------------------------
+// --- Requests -----------------------------------------------------------------------------------
 
 void Claimant::Begin(const RequestId& attempt, const IdempotencyKey& key, absl::Time deadline,
                      absl::Time wall_time, absl::Time now, Outbox* outbox) {
@@ -56,21 +57,21 @@
   }
   entry->second.key = key;
   entry->second.deadline = deadline;
-  Ask(attempt, &entry->second, wall_time, now, outbox);
+  SendClaim(attempt, &entry->second, wall_time, now, outbox);
 }
 
-void Claimant::Ask(const RequestId& attempt, Pending* pending, absl::Time wall_time, absl::Time now,
-                   Outbox* outbox) {
-  pending->next_send = now + kAskInterval;
+void Claimant::SendClaim(const RequestId& attempt, Pending* pending, absl::Time wall_time,
+                         absl::Time now, Outbox* outbox) {
+  pending->next_send = now + kRetryInterval;
   if (const std::optional<std::uint64_t> key_time_ms = KeyTimeMs(pending->key)) {
-    AskOwner(attempt, pending, *key_time_ms, wall_time, outbox);
+    ClaimAtOwner(attempt, pending, *key_time_ms, wall_time, outbox);
   } else if (pending->platform_call == 0) {
-    AskPlatform(attempt, pending, outbox);
+    ClaimInPlatform(attempt, pending, outbox);
   }
 }
 
-void Claimant::AskOwner(const RequestId& attempt, Pending* pending, std::uint64_t key_time_ms,
-                        absl::Time wall_time, Outbox* outbox) {
+void Claimant::ClaimAtOwner(const RequestId& attempt, Pending* pending, std::uint64_t key_time_ms,
+                            absl::Time wall_time, Outbox* outbox) {
   if (absl::FromUnixMillis(static_cast<std::int64_t>(key_time_ms)) >
       wall_time + options_.future_skew) {
     Decide(attempt, ClaimVerdict::kOutOfTime);
@@ -79,12 +80,12 @@
   const KeyRangeId range = RangeOf(pending->key, options_.range_count);
   const ClaimRangeRecord* record = store_->FindClaimRange(range);
   if (record == nullptr || key_time_ms >= record->until_ms) {
-    // Not given to anybody yet, or this replica is behind.
+    // The time has no owner yet, or the record store of this node is behind.
     return;
   }
   const ClaimSegment* segment = SegmentAt(*record, key_time_ms);
   if (segment == nullptr) {
-    // Older than the first segment: nobody will ever own it.
+    // The key is older than the first segment and will never have an owner.
     Decide(attempt, ClaimVerdict::kOutOfTime);
     return;
   }
@@ -94,7 +95,7 @@
   } else if (segment->incarnation == incarnation_) {
     DecideByOutcome(attempt, local_owner_->Claim(request, wall_time));
   } else {
-    // An earlier run of this node: it can't answer any more.
+    // The owner was an earlier incarnation of this node, which can no longer answer.
     Decide(attempt, ClaimVerdict::kUndecided);
   }
 }
@@ -124,7 +125,7 @@
   }
 }
 
-// --- Ends ---------------------------------------------------------------------------------------
+// --- Decisions and releases ---------------------------------------------------------------------
 
 void Claimant::Decide(const RequestId& attempt, ClaimVerdict verdict) {
   pending_.erase(attempt);
@@ -169,7 +170,7 @@
     if (now >= pending.deadline) {
       GiveUp(attempt, outbox);
     } else {
-      Ask(attempt, &pending, wall_time, now, outbox);
+      SendClaim(attempt, &pending, wall_time, now, outbox);
     }
   }
 }
@@ -198,7 +199,7 @@
   }
 }
 
-// --- Keys without time, in the platform ---------------------------------------------------------
+// --- Keys without a time, claimed in the platform -----------------------------------------------
 
 std::uint64_t Claimant::SendCall(CallKind kind, const RequestId& attempt, const IdempotencyKey& key,
                                  std::variant<Transaction, ReadCall> request, Outbox* outbox) {
@@ -211,7 +212,7 @@
   return next_call_ - 1;
 }
 
-void Claimant::AskPlatform(const RequestId& attempt, Pending* pending, Outbox* outbox) {
+void Claimant::ClaimInPlatform(const RequestId& attempt, Pending* pending, Outbox* outbox) {
   const std::string key = PlatformKey(pending->key);
   if (pending->read_back) {
     pending->platform_call =
@@ -259,14 +260,14 @@
   }
 }
 
-// The platform said what the key holds.
+// Handles the value that the platform stores for the key.
 void Claimant::HandleStored(const PlatformClaim& claim, const StoredValue& stored, absl::Time now,
                             Outbox* outbox) {
-  const bool ours = stored.value == WireName(claim.attempt).value();
+  const bool is_own = stored.value == WireName(claim.attempt).value();
   const auto pending = pending_.find(claim.attempt);
   if (pending == pending_.end() || claim.kind == CallKind::kReadForRelease) {
-    // Released, given up or cancelled: it will not run.
-    if (ours) {
+    // The claim was released, given up or cancelled, so the attempt will not run.
+    if (is_own) {
       DeleteStored(claim, stored.revision, outbox);
     }
     return;
@@ -275,7 +276,7 @@
     pending->second.read_back = false;
     pending->second.next_send = now;
   } else {
-    Decide(claim.attempt, ours ? ClaimVerdict::kGranted : ClaimVerdict::kAlreadyClaimed);
+    Decide(claim.attempt, is_own ? ClaimVerdict::kGranted : ClaimVerdict::kAlreadyClaimed);
   }
 }
 
--- a/src/claim/key_time.cc
+++ b/src/claim/key_time.cc
@@ -10,8 +10,8 @@
 namespace hingespan {
 namespace {
 
-// RFC 9562: 8-4-4-4-12 hexadecimal digits; the first 12 are the time, then the version, and the
-// variant at the start of the fourth group.
+// RFC 9562: 8-4-4-4-12 hexadecimal digits. The first 12 digits are the time, followed by the
+// version; the fourth group starts with the variant.
 constexpr std::size_t kUuidLength = 36;
 constexpr std::size_t kTimeEnd = 13;
 constexpr std::size_t kVersionPosition = 14;
--- a/tests/claim/claim_simulation.h
+++ b/tests/claim/claim_simulation.h
@@ -1,5 +1,6 @@
-// Owners, claimants and a platform under a schedule of steps: messages and platform answers are
-// lost, doubled and late, nodes pause, crash with nothing kept and stop, replicas lag, clocks jump.
+// Simulation of owners, claimants and a platform under a schedule of steps. Messages and platform
+// answers are lost, duplicated and late; nodes pause, stop, and crash without stored state; record
+// stores lag behind; clocks jump.
 #ifndef HINGESPAN_TESTS_CLAIM_CLAIM_SIMULATION_H_
 #define HINGESPAN_TESTS_CLAIM_CLAIM_SIMULATION_H_
 
@@ -20,7 +21,7 @@
 
 namespace hingespan {
 
-// The platform's table service in memory.
+// In-memory table service of the platform.
 class FakePlatform {
  public:
   TransactionResult Commit(const Transaction& transaction) {
@@ -49,7 +50,7 @@
     return present ? found->second : StoredValue{key};
   }
 
-  // Brings a replica forward by some changes, as a page of its own.
+  // Applies up to `limit` changes to a record store, as one page.
   void Sync(std::size_t limit, RecordStore* store) const {
     std::map<TableRevision, const StoredValue*> ordered;
     for (const auto& [key, stored] : values_) {
@@ -91,7 +92,7 @@
     keys_.push_back(MakeKey(wall_, &random_));
   }
 
-  // One step, chosen by the low bits of `choice` and with the other bits as its argument.
+  // Runs one step. The low bits of `choice` select its kind, the other bits are its argument.
   void Step(std::uint32_t choice) {
     constexpr std::uint32_t kKinds = 16;
     const std::uint32_t argument = choice / kKinds;
@@ -110,10 +111,10 @@
         break;
       case 6:
       case 7:
-        AnswerCall(argument, CallFate::kAnswered);
+        AnswerCall(argument, CallOutcome::kAnswered);
         break;
       case 8:
-        AnswerCall(argument, argument % 2 == 0 ? CallFate::kAnswerLost : CallFate::kLate);
+        AnswerCall(argument, argument % 2 == 0 ? CallOutcome::kAnswerLost : CallOutcome::kLate);
         break;
       case 9:
       case 10:
@@ -124,13 +125,13 @@
         BeginClaim(argument + 1);
         break;
       case 12:
-        MintKey(argument);
+        CreateKey(argument);
         break;
       case 13:
         ReleaseOne(argument);
         break;
       case 14:
-        DisturbNode(argument);
+        InjectNodeFault(argument);
         break;
       default:
         Settle();
@@ -138,13 +139,13 @@
     CollectDecisions();
   }
 
-  // The largest number of attempts that held one key at the same time, ever.
-  std::size_t worst() const { return worst_; }
+  // Largest number of attempts that ever held one key at the same time.
+  std::size_t maximum_holders() const { return maximum_holders_; }
   int granted() const { return granted_; }
   int granted_after_release() const { return granted_after_release_; }
 
  private:
-  enum class CallFate { kAnswered, kAnswerLost, kLate };
+  enum class CallOutcome { kAnswered, kAnswerLost, kLate };
 
   struct Node {
     NodeId id;
@@ -165,8 +166,8 @@
     int node = 0;
     NodeIncarnation incarnation;
     PlatformCall call;
-    // The caller was told of a timeout already.
-    bool given_up = false;
+    // The caller has already received a timeout.
+    bool timed_out = false;
   };
   struct Grant {
     int node = 0;
@@ -199,7 +200,7 @@
     return taken;
   }
 
-  void Carry(int index, Outbox* outbox) {
+  void CollectOutbox(int index, Outbox* outbox) {
     Node& node = *nodes_[index];
     for (OutgoingMessage& message : outbox->messages) {
       messages_.push_back(
@@ -210,18 +211,18 @@
     }
   }
 
-  absl::Time WallOf(const Node& node) const { return wall_ + node.clock_error; }
+  absl::Time WallTimeOf(const Node& node) const { return wall_ + node.clock_error; }
 
-  // Any node may extend any range: duties that change hands or are held twice do no harm.
+  // Any node may extend any range: a duty that moves or is held by two nodes must be harmless.
   void TickNode(int index) {
     Node& node = *nodes_[index];
     if (node.paused) {
       return;
     }
     Outbox outbox;
-    node.owner->Tick({KeyRangeId(0), KeyRangeId(1)}, WallOf(node), now_, &outbox);
-    node.claimant->Tick(now_, WallOf(node), &outbox);
-    Carry(index, &outbox);
+    node.owner->Tick({KeyRangeId(0), KeyRangeId(1)}, WallTimeOf(node), now_, &outbox);
+    node.claimant->Tick(now_, WallTimeOf(node), &outbox);
+    CollectOutbox(index, &outbox);
   }
 
   void Advance(absl::Duration duration) {
@@ -249,29 +250,30 @@
     Node& node = *nodes_[index];
     Outbox outbox;
     if (const auto* request = std::get_if<ClaimRequest>(&envelope.message)) {
-      const ClaimOutcome outcome = node.owner->Claim(*request, WallOf(node));
+      const ClaimOutcome outcome = node.owner->Claim(*request, WallTimeOf(node));
       outbox.Send(envelope.from, ClaimReply{request->key, request->attempt, outcome});
     } else if (const auto* reply = std::get_if<ClaimReply>(&envelope.message)) {
       node.claimant->HandleReply(*reply);
     } else if (const auto* release = std::get_if<ClaimRelease>(&envelope.message)) {
       node.owner->Release(*release);
     }
-    Carry(index, &outbox);
+    CollectOutbox(index, &outbox);
   }
 
-  void AnswerCall(std::uint32_t argument, CallFate fate) {
+  void AnswerCall(std::uint32_t argument, CallOutcome call_outcome) {
     for (Call& call : Take(&calls_, argument)) {
       PlatformAnswer answer{call.call.call, call.call.owner};
-      if (fate == CallFate::kLate) {
+      if (call_outcome == CallOutcome::kLate) {
         answer.error = Error::kTimeout;
       } else {
         answer.value = Execute(call.call);
-        answer.error =
-            fate == CallFate::kAnswerLost ? make_error_code(Error::kAnswerLost) : std::error_code();
+        answer.error = call_outcome == CallOutcome::kAnswerLost
+                           ? make_error_code(Error::kAnswerLost)
+                           : std::error_code();
       }
-      const bool answered = call.given_up;
-      if (fate == CallFate::kLate) {
-        call.given_up = true;
+      const bool answered = call.timed_out;
+      if (call_outcome == CallOutcome::kLate) {
+        call.timed_out = true;
         calls_.push_back(call);
       }
       if (!answered) {
@@ -299,7 +301,7 @@
     } else {
       node.claimant->HandleAnswer(answer, now_, &outbox);
     }
-    Carry(call.node, &outbox);
+    CollectOutbox(call.node, &outbox);
   }
 
   void BeginClaim(std::uint32_t argument) {
@@ -309,16 +311,16 @@
       return;
     }
     const IdempotencyKey key = keys_[argument / 7 % keys_.size()];
-    // Ids start anew in each run of a node.
+    // Request ids start again in each incarnation of a node.
     const RequestId attempt("r" + std::to_string(node.next_attempt++));
     node.attempts[attempt] = key;
     Outbox outbox;
-    node.claimant->Begin(attempt, key, now_ + absl::Seconds(2), WallOf(node), now_, &outbox);
-    Carry(index, &outbox);
+    node.claimant->Begin(attempt, key, now_ + absl::Seconds(2), WallTimeOf(node), now_, &outbox);
+    CollectOutbox(index, &outbox);
   }
 
-  // Keys come up to two seconds early and late, or carry no time; few are in use at one time.
-  void MintKey(std::uint32_t argument) {
+  // Keys are up to two seconds early or late, or carry no time. Only a few are in use at one time.
+  void CreateKey(std::uint32_t argument) {
     constexpr std::size_t kKeysInUse = 3;
     const absl::Duration offset = absl::Milliseconds(static_cast<int>(argument / 5 % 4000) - 2000);
     keys_.push_back(argument % 5 == 0 ? IdempotencyKey("plain" + std::to_string(argument % 50))
@@ -329,21 +331,21 @@
   }
 
   void ReleaseOne(std::uint32_t argument) {
-    std::vector<Grant> chosen = Take(&holding_, argument);
+    std::vector<Grant> chosen = Take(&held_grants_, argument);
     for (const Grant& grant : chosen) {
       Node& node = *nodes_[grant.node];
       if (node.incarnation != grant.incarnation || node.paused) {
-        holding_.push_back(grant);
+        held_grants_.push_back(grant);
         continue;
       }
       Outbox outbox;
       node.claimant->Release(grant.attempt, grant.key, &outbox);
-      Carry(grant.node, &outbox);
+      CollectOutbox(grant.node, &outbox);
       released_keys_.insert(grant.key);
     }
   }
 
-  void DisturbNode(std::uint32_t argument) {
+  void InjectNodeFault(std::uint32_t argument) {
     const int index = static_cast<int>(argument / 8 % kNodes);
     Node& node = *nodes_[index];
     switch (argument % 8) {
@@ -372,18 +374,18 @@
       return;
     }
     Outbox outbox;
-    node.owner->GiveBack(WallOf(node), now_, &outbox);
-    Carry(index, &outbox);
+    node.owner->GiveBack(WallTimeOf(node), now_, &outbox);
+    CollectOutbox(index, &outbox);
   }
 
-  // Lets everything under way reach its end.
+  // Completes all pending calls and messages.
   void Settle() {
     constexpr int kRounds = 3;
-    // An argument of DeliverMessage that does not double the message.
+    // Argument of DeliverMessage that does not duplicate the message.
     constexpr std::uint32_t kOnce = 1;
     for (int round = 0; round < kRounds; ++round) {
       for (std::size_t calls = calls_.size(); calls > 0; --calls) {
-        AnswerCall(0, CallFate::kAnswered);
+        AnswerCall(0, CallOutcome::kAnswered);
       }
       for (const auto& node : nodes_) {
         platform_.Sync(100, &node->store);
@@ -409,12 +411,12 @@
   void RecordGrant(const Grant& grant) {
     ++granted_;
     granted_after_release_ += released_keys_.contains(grant.key) ? 1 : 0;
-    holding_.push_back(grant);
+    held_grants_.push_back(grant);
     std::size_t holders = 0;
-    for (const Grant& held : holding_) {
+    for (const Grant& held : held_grants_) {
       holders += held.key == grant.key ? 1 : 0;
     }
-    worst_ = std::max(worst_, holders);
+    maximum_holders_ = std::max(maximum_holders_, holders);
   }
 
   ClaimOptions options_;
@@ -427,10 +429,10 @@
   std::vector<InFlight> messages_;
   std::vector<Call> calls_;
   std::vector<IdempotencyKey> keys_;
-  // Granted and not released, also by nodes that crashed since: they may have run.
-  std::vector<Grant> holding_;
+  // Grants that were not released, including those of crashed nodes: they may have run.
+  std::vector<Grant> held_grants_;
   std::set<IdempotencyKey> released_keys_;
-  std::size_t worst_ = 0;
+  std::size_t maximum_holders_ = 0;
   int granted_ = 0;
   int granted_after_release_ = 0;
 };
