--- a/include/hingespan/transport/message.h
+++ b/include/hingespan/transport/message.h
@@ -1,6 +1,6 @@
-// Every message between nodes. Messages travel as datagrams: they may be lost, doubled, late and
-// out of order, and every receiver is written for that. Times on the wire are durations left, never
-// instants, since nodes share no clock.
+// Messages between nodes. They are sent as datagrams, which may be lost, duplicated, late and out
+// of order; every receiver tolerates that. Times on the wire are remaining durations, never
+// instants, as nodes do not share a clock.
 #ifndef HINGESPAN_TRANSPORT_MESSAGE_H_
 #define HINGESPAN_TRANSPORT_MESSAGE_H_
 
@@ -18,13 +18,13 @@
 
 // --- Membership of a zone ---------------------------------------------------------------------
 
-// kLeft: the node said itself that it stops; kDead: others concluded it.
+// kLeft: the node announced that it stops. kDead: other nodes concluded that it failed.
 enum class MemberState { kAlive, kSuspect, kLeaving, kLeft, kDead };
 
 struct MemberUpdate {
   NodeId node;
   NodeIncarnation incarnation;
-  // Raised by the member itself to refute a suspicion within one incarnation.
+  // Incremented by the member itself to refute a suspicion within one incarnation.
   std::uint32_t refutation = 0;
   MemberState state = MemberState::kAlive;
   std::string control_address;
@@ -33,7 +33,8 @@
   friend bool operator==(const MemberUpdate&, const MemberUpdate&) = default;
 };
 
-// "Are you there?", with rumours. `table_revision` starts anti-entropy of the replicated records.
+// Liveness probe with membership updates. `table_revision` starts anti-entropy of the replicated
+// records.
 struct Probe {
   std::uint64_t sequence = 0;
   std::vector<MemberUpdate> updates;
@@ -46,13 +47,13 @@
   TableRevision table_revision;
 };
 
-// Asks the receiver to probe `target` on behalf of the sender, who got no answer.
+// Asks the receiver to probe `target` on behalf of the sender, whose own probe was not answered.
 struct IndirectProbeRequest {
   std::uint64_t sequence = 0;
   NodeId target;
 };
 
-// The target answered the helper's probe.
+// Reports that the target answered the helper's probe.
 struct IndirectProbeAck {
   std::uint64_t sequence = 0;
   NodeId target;
@@ -68,21 +69,22 @@
 
 // --- Replicated records -----------------------------------------------------------------------
 
-// Asks for changes after a revision.
+// Requests the changes after a revision.
 struct RecordFetch {
   TableRevision after;
 };
 
-// Changes in (`after`, `through`], oldest first. Applied only when the receiver has `after`.
+// Changes in (`after`, `through`], oldest first. Applied only if the receiver is at `after`.
 struct RecordChanges {
   TableRevision after;
   TableRevision through;
-  // The newest revision that the sender holds; above `through`, there is more to fetch.
+  // Newest revision of the sender; if it is above `through`, more changes can be fetched.
   TableRevision latest;
   std::vector<RecordChange> changes;
 };
 
-// Hints of the platform's machine list, passed on by the node that read it. May be a part.
+// Hints from the platform's machine list, forwarded by the node that read it. May hold a part of
+// the list.
 struct MachineListUpdate {
   std::vector<NodeMachine> nodes;
   std::vector<WorkerMachine> workers;
@@ -90,7 +92,8 @@
 
 // --- Residency: from a worker's keeper to the nodes of its zone ---------------------------------
 
-// A replica's state changed. `version` counts such changes; a gap makes the receiver ask for all.
+// Change of a replica's state. `version` counts such changes; after a gap the receiver requests the
+// whole list.
 struct ReplicaUpdate {
   WorkerId worker;
   WorkerIncarnation incarnation;
@@ -99,25 +102,25 @@
   ModelName model;
   GrantGeneration generation;
   ReplicaState state = ReplicaState::kLoading;
-  // True: the replica is gone; `state` has no meaning.
+  // True if the replica was removed; `state` is then meaningless.
   bool removed = false;
-  // For kLoading: expected time left.
+  // Expected time left for kLoading.
   std::uint32_t ready_in_ms = 0;
 };
 
-// Summary of a worker, and its liveness as the keeper sees it. Sent when it changes in what a
-// router or a placer decides by; in between, heartbeats confirm it.
+// Summary of a worker and its liveness as seen by its keeper. Sent when a value changes that
+// routers or placers use for decisions; between reports, heartbeats confirm it.
 struct WorkerReport {
   WorkerId worker;
   WorkerIncarnation incarnation;
   KeeperEpoch epoch;
   ReplicaListVersion version;
-  // Grows with each report of one keeper, so that a late one is told from a newer one.
+  // Increases with each report of one keeper, so that a late report is recognized.
   std::uint64_t sequence = 0;
   std::string base_url;
-  // False while the keeper can't reach the engine.
+  // False while the keeper cannot reach the engine.
   bool reachable = true;
-  // True: no new work may go to it.
+  // True if the worker may get no new requests.
   bool leaving = false;
   std::uint32_t memory_mib = 0;
   std::uint32_t memory_charged_mib = 0;
@@ -125,8 +128,8 @@
   std::uint32_t queued = 0;
 };
 
-// Confirms the newest report of a worker, named by its sequence, and the version of its replica
-// list.
+// Confirms the newest report of a worker, identified by its sequence, and the version of its
+// replica list.
 struct WorkerHeartbeat {
   WorkerId worker;
   WorkerIncarnation incarnation;
@@ -135,12 +138,13 @@
   std::uint64_t sequence = 0;
 };
 
-// Of all workers that the sender keeps. A receiver that holds another report of one asks for it.
+// Heartbeats of all workers that the sender keeps. A receiver that has another report of a worker
+// requests the new one.
 struct KeeperHeartbeat {
   std::vector<WorkerHeartbeat> workers;
 };
 
-// Answered by the newest WorkerReport.
+// Requests the newest WorkerReport.
 struct WorkerReportRequest {
   WorkerId worker;
 };
@@ -156,7 +160,7 @@
   std::uint32_t ready_in_ms = 0;
 };
 
-// All replicas of a worker at one version. Large lists are split: `part` of `parts`.
+// All replicas of a worker at one version. Large lists are split: this is number `part` of `parts`.
 struct ReplicaList {
   WorkerId worker;
   WorkerIncarnation incarnation;
@@ -173,25 +177,26 @@
 struct WakeRequest {
   ModelName model;
   std::uint32_t waiting = 0;
-  // Time left of the waiting request that is due first, and of the one due last.
+  // Time left of the waiting request with the earliest deadline, and of the one with the latest.
   std::uint32_t earliest_deadline_ms = 0;
   std::uint32_t latest_deadline_ms = 0;
-  // Mean time of the model's requests at engines, as the sender saw it; 0: none seen lately.
+  // Mean time of the model's requests at engines, as observed by the sender; 0 if none ended
+  // recently.
   std::uint32_t service_ms = 0;
 };
 
 enum class WakeOutcome {
   kLoading,
   kReady,
-  // No replica can come: see WakeReply::reason.
+  // No replica can be loaded; see WakeReply::reason.
   kRefused,
 };
 
 enum class WakeRefusal {
   kNone,
-  // The row allows no (more) replicas, or no slot is granted and none can be now.
+  // The row allows no (more) replicas, or no slot is granted and none can be granted now.
   kNoGrant,
-  // All memory is taken by replicas that are in use.
+  // All memory is used by replicas that are in use.
   kNoMemory,
   kNoWorker,
   kUnknownModel,
@@ -201,11 +206,11 @@
   ModelName model;
   WakeOutcome outcome = WakeOutcome::kLoading;
   WakeRefusal reason = WakeRefusal::kNone;
-  // Expected time until a replica is ready; when refused, when to ask again.
+  // Expected time until a replica is ready. For kRefused, the time after which to ask again.
   std::uint32_t expected_wait_ms = 0;
 };
 
-// From a placer to a worker's keeper: load inside the grant with this generation.
+// From a placer to a worker's keeper: loads the model under the grant of this generation.
 struct LoadRequest {
   WorkerId worker;
   WorkerIncarnation incarnation;
@@ -226,7 +231,7 @@
   std::uint32_t expected_wait_ms = 0;
 };
 
-// From a placer to a worker's keeper: unload, and make older generations void.
+// From a placer to a worker's keeper: unloads the model and invalidates older generations.
 struct RevokeRequest {
   WorkerId worker;
   WorkerIncarnation incarnation;
@@ -234,8 +239,8 @@
   GrantGeneration generation;
 };
 
-// The engine confirmed, under the keeper's fence, that no replica of the model is left and that no
-// load below `generation` can come any more; or that `incarnation` has ended.
+// If `confirmed`, the engine reported under the fence of the keeper that no replica of the model is
+// left and that no load below `generation` can start any more, or `incarnation` has ended.
 struct RevokeReply {
   WorkerId worker;
   WorkerIncarnation incarnation;
@@ -244,16 +249,17 @@
   bool confirmed = false;
 };
 
-// Permission to fetch from the weight store now; between keepers and their zone's permit holder.
+// Requests permission to fetch from the weight store now. Sent by a keeper to the permit holder of
+// its zone.
 struct PermitRequest {
   WorkerId worker;
   ModelName model;
-  // Grows with each permit that a keeper of the worker asks for; the same in repeats and in the
-  // return, so that a late one is told from a newer one.
+  // Increases with each permit that a keeper of the worker requests. Repeats and the return use the
+  // same number, so that late ones are recognized.
   std::uint64_t number = 0;
   std::uint32_t waiting = 0;
   std::uint32_t earliest_deadline_ms = 0;
-  // True: the load has ended, the permit is returned.
+  // True if the load has ended and the permit is returned.
   bool release = false;
 };
 
@@ -265,8 +271,8 @@
   std::uint32_t expected_wait_ms = 0;
 };
 
-// "May I alone lend and use this zone's slots of the weight store?" From a permit holder to its
-// zone's nodes; `round` numbers the holder's questions.
+// Asks whether the sender alone may lend and use this zone's slots of the weight store. Sent by a
+// permit holder to the nodes of its zone; `round` numbers the votes of the holder.
 struct PermitVoteRequest {
   std::uint64_t round = 0;
 };
@@ -276,17 +282,17 @@
   bool granted = false;
 };
 
-// From the permit holder of zone `borrower` to that of zone `lender`; another node passes it on.
+// From the permit holder of zone `borrower` to that of zone `lender`. Another node forwards it.
 struct PermitLoanRequest {
   ZoneId lender;
   ZoneId borrower;
   NodeId holder;
   NodeIncarnation incarnation;
   std::uint64_t sequence = 0;
-  // Slots that the borrower keeps of what it was lent; the others are returned herewith.
+  // Lent slots that the borrower keeps; the others are returned by this message.
   std::uint32_t held = 0;
-  // Loads that wait for a slot, slots that would also serve to begin them sooner, requests that
-  // wait for those loads, and the time left of the first that is due.
+  // Loads that wait for a slot, further slots that would let them start sooner, requests that wait
+  // for those loads, and the time left of the earliest deadline among them.
   std::uint32_t waiting_loads = 0;
   std::uint32_t extra_slots = 0;
   std::uint32_t waiting = 0;
@@ -294,7 +300,8 @@
   bool passed_on = false;
 };
 
-// All slots lent to the borrower, as an answer to its request `sequence`; may be repeated, larger.
+// Number of all slots lent to the borrower, in answer to its request `sequence`. May be repeated
+// with a larger number.
 struct PermitLoanReply {
   ZoneId lender;
   NodeIncarnation incarnation;
@@ -304,23 +311,24 @@
 
 // --- Claims on not-repeatable requests ----------------------------------------------------------
 
-// "May attempt `attempt` run the request with this key?"
+// Asks whether `attempt` may run the request with this key.
 struct ClaimRequest {
   IdempotencyKey key;
-  // Milliseconds since 1970, out of the key.
+  // Time of the key in milliseconds since 1970.
   std::uint64_t key_time_ms = 0;
   KeyRangeId range;
   RequestId attempt;
 };
 
 enum class ClaimOutcome {
-  // This attempt, and no other ever, may run.
+  // This attempt may run, and no other attempt ever.
   kGranted,
-  // Another attempt has it: this one was not run, the key may have run.
+  // Another attempt holds the key: this attempt was not run, the request with this key may have
+  // run.
   kAlreadyClaimed,
   // The receiver does not own the key's interval.
   kNotOwner,
-  // The key is older than the owner remembers, or issued in the future.
+  // The key is older than the time for which the owner keeps claims, or issued in the future.
   kOutOfTime,
 };
 
@@ -330,7 +338,7 @@
   ClaimOutcome outcome = ClaimOutcome::kNotOwner;
 };
 
-// The attempt provably did not run: its claim may be given to another attempt.
+// Releases the claim of an attempt that provably did not run, so that another attempt may get it.
 struct ClaimRelease {
   IdempotencyKey key;
   std::uint64_t key_time_ms = 0;
@@ -350,16 +358,17 @@
   NodeId from;
   NodeIncarnation from_incarnation;
   ZoneId from_zone;
-  // Where to answer, when the receiver may not know the sender: see reply_address.h.
+  // Address to which to reply if the receiver may not know the sender; see reply_address.h.
   std::string reply_address;
   Message message;
 };
 
-// Largest datagram before its signature, in bytes: common networks carry 1,400 in one packet.
-// Record changes and lists are split by their senders to stay below.
+// Maximum size of a datagram without its signature, in bytes; common networks carry 1,400 bytes in
+// one packet. Senders split record changes and lists to stay below it.
 inline constexpr std::size_t kMaximumDatagramBytes = 1400;
-// Largest encoded envelope, in bytes. One that passes kMaximumDatagramBytes travels as fragments:
-// the changes of one revision can't be split, so one transaction must stay below this.
+// Maximum size of an encoded envelope, in bytes. An envelope above kMaximumDatagramBytes is sent as
+// fragments. The changes of one revision cannot be split, so one transaction must stay below this
+// size.
 inline constexpr std::size_t kMaximumMessageBytes = 48 * 1024;
 
 }  // namespace hingespan
--- a/include/hingespan/transport/message_codec.h
+++ b/include/hingespan/transport/message_codec.h
@@ -1,4 +1,4 @@
-// CBOR form of envelopes: positional arrays, so that frames stay small.
+// CBOR encoding of envelopes as positional arrays, which keeps datagrams small.
 #ifndef HINGESPAN_TRANSPORT_MESSAGE_CODEC_H_
 #define HINGESPAN_TRANSPORT_MESSAGE_CODEC_H_
 
@@ -12,7 +12,8 @@
 
 std::string EncodeEnvelope(const Envelope& envelope);
 Result<Envelope> DecodeEnvelope(std::string_view bytes);
-// Bytes that a change takes within RecordChanges; senders split by it.
+// Returns the number of bytes that a change takes within RecordChanges. Senders use it to split
+// changes.
 std::size_t EncodedSize(const RecordChange& change);
 
 }  // namespace hingespan
--- a/include/hingespan/transport/outbox.h
+++ b/include/hingespan/transport/outbox.h
@@ -1,5 +1,6 @@
-// What a state machine wants done. A step takes (state, event, now) and appends to an Outbox; the
-// driver (daemon, hollow node or test) carries it out and feeds answers back as events.
+// Actions that a state machine requests. A step takes (state, event, now) and appends to an Outbox.
+// The driver (daemon, hollow node or test) carries the actions out and returns the answers as
+// events.
 #ifndef HINGESPAN_TRANSPORT_OUTBOX_H_
 #define HINGESPAN_TRANSPORT_OUTBOX_H_
 
@@ -14,15 +15,16 @@
 
 namespace hingespan {
 
-// Send to a node of any zone by id (the driver knows its address), or to `address` when not empty.
+// Message to a node of any zone by id, whose address the driver knows, or to `address` if that is
+// not empty.
 struct OutgoingMessage {
   NodeId to;
   std::string address;
   Message message;
 };
 
-// Which state machine asked, so that the driver can hand the answer back.
-// kClaims: ClaimOwner; kClaimant: Claimant. Each numbers its calls by itself.
+// State machine that issued a call, so that the driver can return the answer to it. kClaims is
+// ClaimOwner, kClaimant is Claimant. Each numbers its calls independently.
 enum class CallOwner { kKeeper, kGrants, kClaims, kClaimant, kRecords, kMachines };
 
 struct FenceCall {
@@ -30,7 +32,7 @@
   WorkerIncarnation incarnation;
 };
 struct StatusCall {};
-// A call to the engine of `worker`. Answered by EngineAnswer with the same `call`.
+// Call to the engine of `worker`. Answered by EngineAnswer with the same `call`.
 struct EngineCall {
   std::uint64_t call = 0;
   WorkerId worker;
@@ -51,7 +53,7 @@
 struct ReadCall {
   std::string key;
 };
-// A call to the platform. Answered by PlatformAnswer with the same `call` and `owner`.
+// Call to the platform. Answered by PlatformAnswer with the same `call` and `owner`.
 struct PlatformCall {
   std::uint64_t call = 0;
   CallOwner owner = CallOwner::kGrants;
@@ -61,7 +63,7 @@
 struct PlatformAnswer {
   std::uint64_t call = 0;
   CallOwner owner = CallOwner::kGrants;
-  // kOk with the alternative that fits the request, or the error.
+  // The error; or kOk, with the alternative of `value` that matches the request.
   std::error_code error;
   std::variant<std::monostate, TransactionResult, ValueChangePage, MachineListing, StoredValue>
       value;
--- a/include/hingespan/transport/reply_address.h
+++ b/include/hingespan/transport/reply_address.h
@@ -1,4 +1,4 @@
-// Which messages need their sender's address in the envelope.
+// Messages whose envelope carries the address of the sender.
 #ifndef HINGESPAN_TRANSPORT_REPLY_ADDRESS_H_
 #define HINGESPAN_TRANSPORT_REPLY_ADDRESS_H_
 
@@ -8,8 +8,8 @@
 
 namespace hingespan {
 
-// Whether the receiver answers to Envelope::reply_address, as it may not know the sender yet. All
-// other answers go to the address that membership has for the sender's name.
+// Returns whether the receiver replies to Envelope::reply_address, as it may not know the sender
+// yet. All other replies are sent to the address that membership has for the sender.
 inline bool NeedsReplyAddress(const Message& message) {
   return std::holds_alternative<Probe>(message) || std::holds_alternative<JoinRequest>(message);
 }
--- a/include/hingespan/transport/udp_transport.h
+++ b/include/hingespan/transport/udp_transport.h
@@ -1,5 +1,5 @@
-// Control messages between nodes as UDP datagrams, signed when the nodes share a cluster key.
-// Larger messages go as fragments; see fragments.h.
+// Sends and receives control messages between nodes as UDP datagrams, which are signed if the nodes
+// share a cluster key. Larger messages are sent as fragments; see fragments.h.
 #ifndef HINGESPAN_TRANSPORT_UDP_TRANSPORT_H_
 #define HINGESPAN_TRANSPORT_UDP_TRANSPORT_H_
 
@@ -19,34 +19,34 @@
 struct SocketAddress;
 
 struct UdpTransportOptions {
-  // "ip:port"; port 0 lets the kernel pick.
+  // "ip:port"; with port 0 the kernel chooses a port.
   std::string listen = "127.0.0.1:0";
-  // Shared by all nodes; empty: datagrams are not signed.
+  // Key shared by all nodes; if empty, datagrams are not signed.
   std::string cluster_key;
 };
 
 struct UdpTransportCounters {
-  // Datagrams: a message in fragments counts as many.
+  // Counted in datagrams; each fragment of a message counts.
   std::uint64_t messages_sent = 0;
   std::uint64_t bytes_sent = 0;
   std::uint64_t messages_received = 0;
   std::uint64_t bytes_received = 0;
-  // Without a valid signature.
+  // Datagrams without a valid signature.
   std::uint64_t unsigned_dropped = 0;
-  // Signed, but not an envelope.
+  // Signed datagrams that hold no valid envelope or fragment.
   std::uint64_t malformed_dropped = 0;
-  // Not sent: too long, bad address, or the kernel refused.
+  // Messages that were not sent: too long, invalid address, or refused by the kernel.
   std::uint64_t send_failures = 0;
-  // Among them: longer than kMaximumMessageBytes, so that they can never be sent.
+  // Failed messages that are longer than kMaximumMessageBytes and can never be sent.
   std::uint64_t too_long = 0;
-  // Messages that came in fragments, of which one was lost or late, or that had to make room.
+  // Fragmented messages that were dropped because a fragment was lost or late, or to make room.
   std::uint64_t incomplete_dropped = 0;
 };
 
-// Send is thread-safe; the rest belongs to one thread.
+// Send is thread-safe; the other functions must be called from one thread.
 class UdpTransport {
  public:
-  // Called on the receiving thread.
+  // Called on the receiving thread for each envelope.
   using Handler = std::function<void(const Envelope& envelope)>;
 
   explicit UdpTransport(UdpTransportOptions options);
@@ -55,13 +55,14 @@
   UdpTransport(const UdpTransport&) = delete;
   UdpTransport& operator=(const UdpTransport&) = delete;
 
-  // Returns the bound "ip:port". Errors: kInvalidArgument, kUnavailable.
+  // Binds the socket and returns the bound "ip:port". Errors: kInvalidArgument, kUnavailable.
   Result<std::string> Bind();
-  // Receives on a thread of its own.
+  // Starts the receiving thread.
   void Start(Handler handler);
   void Stop();
 
-  // Errors: kInvalidArgument (address, length), kUnavailable. A sent datagram may still be lost.
+  // Sends an envelope. Errors: kInvalidArgument (address, length), kUnavailable. A sent datagram
+  // may still be lost.
   std::error_code Send(const std::string& address, const Envelope& envelope);
 
   UdpTransportCounters counters() const;
@@ -77,12 +78,12 @@
   const UdpTransportOptions options_;
   Handler handler_;
   int socket_ = -1;
-  // An eventfd that wakes the receiving thread to end.
-  int wake_ = -1;
+  // eventfd that stops the receiving thread.
+  int stop_event_ = -1;
   std::thread thread_;
   // Used by the receiving thread only.
   Reassembler reassembler_;
-  // Random for each transport; names it in fragments.
+  // Random number that identifies this transport in fragments.
   const std::uint64_t fragment_sender_;
   std::atomic<std::uint64_t> next_fragmented_message_ = 1;
   std::atomic<std::uint64_t> messages_sent_ = 0;
--- a/src/transport/cbor_check.cc
+++ b/src/transport/cbor_check.cc
@@ -23,11 +23,11 @@
 constexpr std::uint8_t kLastMultiByteArgument = 27;
 constexpr std::uint64_t kSimpleFalse = 20;
 constexpr std::uint64_t kSimpleNull = 22;
-// The whole value, then nine nested arrays: envelope, numbered message, message, list of changes,
+// The top-level value and nine nested arrays: envelope, numbered message, message, list of changes,
 // change, numbered record, record, list of slots, slot.
 constexpr std::size_t kMaximumDepth = 10;
 
-// Length of the valid UTF-8 sequence at the front of `text`; 0 when it is invalid.
+// Returns the length of the valid UTF-8 sequence at the front of `text`; 0 if it is invalid.
 std::size_t Utf8SequenceLength(std::string_view text) {
   const auto byte = [text](std::size_t index) { return static_cast<std::uint8_t>(text[index]); };
   const std::uint8_t first = byte(0);
@@ -66,24 +66,24 @@
   std::uint64_t argument = 0;
 };
 
-// Walks over the items of one CBOR value without recursion.
+// Iterates over the items of one CBOR value without recursion.
 class Checker {
  public:
-  explicit Checker(std::string_view bytes) : rest_(bytes) {}
+  explicit Checker(std::string_view bytes) : remaining_(bytes) {}
 
   bool Check() {
-    open_[0] = 1;
+    open_arrays_[0] = 1;
     while (depth_ > 0) {
-      if (open_[depth_ - 1] == 0) {
+      if (open_arrays_[depth_ - 1] == 0) {
         --depth_;
         continue;
       }
-      --open_[depth_ - 1];
+      --open_arrays_[depth_ - 1];
       if (!CheckItem()) {
         return false;
       }
     }
-    return rest_.empty();
+    return remaining_.empty();
   }
 
  private:
@@ -112,18 +112,18 @@
   }
 
   bool ReadHead(Head* head) {
-    if (rest_.empty()) {
+    if (remaining_.empty()) {
       return false;
     }
-    const auto first = static_cast<std::uint8_t>(rest_.front());
-    rest_.remove_prefix(1);
+    const auto first = static_cast<std::uint8_t>(remaining_.front());
+    remaining_.remove_prefix(1);
     head->type = static_cast<MajorType>(first >> 5);
     const std::uint8_t info = first & 0x1F;
     if (info < kFirstMultiByteArgument) {
       head->argument = info;
       return true;
     }
-    // Floating-point numbers, reserved values and indefinite lengths are never written.
+    // The codec never writes floating-point numbers, reserved values or indefinite lengths.
     if (info > kLastMultiByteArgument || head->type == MajorType::kSimple) {
       return false;
     }
@@ -131,45 +131,45 @@
   }
 
   bool ReadArgument(std::size_t length, std::uint64_t* argument) {
-    if (rest_.size() < length) {
+    if (remaining_.size() < length) {
       return false;
     }
-    for (const char byte : rest_.substr(0, length)) {
+    for (const char byte : remaining_.substr(0, length)) {
       *argument = (*argument << 8) | static_cast<std::uint8_t>(byte);
     }
-    rest_.remove_prefix(length);
+    remaining_.remove_prefix(length);
     return true;
   }
 
   bool Skip(std::uint64_t length) {
-    if (length > rest_.size()) {
+    if (length > remaining_.size()) {
       return false;
     }
-    rest_.remove_prefix(length);
+    remaining_.remove_prefix(length);
     return true;
   }
 
   bool SkipText(std::uint64_t length) {
-    if (length > rest_.size() || !IsUtf8(rest_.substr(0, length))) {
+    if (length > remaining_.size() || !IsUtf8(remaining_.substr(0, length))) {
       return false;
     }
-    rest_.remove_prefix(length);
+    remaining_.remove_prefix(length);
     return true;
   }
 
   bool OpenArray(std::uint64_t length) {
-    // Each element takes a byte at least.
-    if (length > rest_.size() || depth_ == kMaximumDepth) {
+    // Each element takes at least one byte.
+    if (length > remaining_.size() || depth_ == kMaximumDepth) {
       return false;
     }
-    open_[depth_] = length;
+    open_arrays_[depth_] = length;
     ++depth_;
     return true;
   }
 
-  std::string_view rest_;
-  // Elements still to come of each open array; the first entry stands for the whole value.
-  std::array<std::uint64_t, kMaximumDepth> open_{};
+  std::string_view remaining_;
+  // Number of remaining elements of each open array. The first entry is the top-level value.
+  std::array<std::uint64_t, kMaximumDepth> open_arrays_{};
   std::size_t depth_ = 1;
 };
 
--- a/src/transport/cbor_check.h
+++ b/src/transport/cbor_check.h
@@ -1,5 +1,5 @@
-// Checks that bytes from the network are CBOR of the narrow kind that this codec writes, before the
-// general parser sees them: that parser recurses on nested input and throws on some lengths.
+// Checks that bytes from the network are in the subset of CBOR that the codec writes, before the
+// general parser reads them. That parser recurses on nested input and throws on some lengths.
 #ifndef HINGESPAN_SRC_TRANSPORT_CBOR_CHECK_H_
 #define HINGESPAN_SRC_TRANSPORT_CBOR_CHECK_H_
 
@@ -7,9 +7,9 @@
 
 namespace hingespan {
 
-// True for exactly one item made of arrays of definite length, integers, booleans, null, bytes and
-// text of definite length, the text in valid UTF-8, nested no deeper than messages are. Does not
-// recurse or allocate.
+// Returns true for exactly one item, made of definite-length arrays, unsigned integers, booleans,
+// null, and definite-length bytes and text in valid UTF-8, nested no deeper than messages are. Does
+// not recurse or allocate.
 bool IsPlainCbor(std::string_view bytes);
 
 }  // namespace hingespan
--- a/src/transport/fragments.cc
+++ b/src/transport/fragments.cc
@@ -8,7 +8,7 @@
 namespace hingespan {
 namespace {
 
-// CBOR's "break", which can't begin an envelope.
+// CBOR's "break" byte, with which no envelope can begin.
 constexpr char kMarker = '\xff';
 constexpr std::size_t kNumberBytes = 8;
 
@@ -78,7 +78,7 @@
     ++counters_.malformed_dropped;
     return std::nullopt;
   }
-  Incomplete* const message = FindOrBegin(fragment->id, fragment->count, now);
+  Incomplete* const message = FindOrStart(fragment->id, fragment->count, now);
   if (message == nullptr) {
     ++counters_.malformed_dropped;
     return std::nullopt;
@@ -102,7 +102,7 @@
   return whole;
 }
 
-Reassembler::Incomplete* Reassembler::FindOrBegin(const FragmentedMessageId& id, std::size_t count,
+Reassembler::Incomplete* Reassembler::FindOrStart(const FragmentedMessageId& id, std::size_t count,
                                                   absl::Time now) {
   const auto held = incomplete_.find(id);
   if (held != incomplete_.end()) {
@@ -110,7 +110,7 @@
   }
   MakeRoom(id.sender);
   Incomplete& message = incomplete_[id];
-  message.began = now;
+  message.started_at = now;
   message.count = count;
   return &message;
 }
@@ -131,7 +131,7 @@
 
 void Reassembler::DropOldest(Messages::iterator begin, Messages::iterator end) {
   const auto is_older = [](const auto& left, const auto& right) {
-    return left.second.began < right.second.began;
+    return left.second.started_at < right.second.started_at;
   };
   Drop(std::min_element(begin, end, is_older));
 }
@@ -145,7 +145,7 @@
 void Reassembler::Expire(absl::Time now) {
   for (auto message = incomplete_.begin(); message != incomplete_.end();) {
     const auto next = std::next(message);
-    if (now - message->second.began <= options_.time_limit) {
+    if (now - message->second.started_at <= options_.time_limit) {
       message = next;
       continue;
     }
--- a/src/transport/message_codec.cc
+++ b/src/transport/message_codec.cc
@@ -20,7 +20,7 @@
 using Json = nlohmann::json;
 
 // --- Encoding -----------------------------------------------------------------------------------
-// One overload for each kind of field; all are declared first, as they call one another.
+// One overload for each kind of field. All are declared first, as they call each other.
 
 template <typename T>
 requires std::is_arithmetic_v<T> Json Encode(T value);
@@ -51,7 +51,7 @@
 
 Json Encode(const std::string& value) { return value; }
 
-// Most keys are UUIDs; any other text stays text.
+// Most keys are UUIDs and packed into bytes; other keys are encoded as text.
 Json Encode(const IdempotencyKey& key) {
   if (std::optional<std::vector<std::uint8_t>> bytes = PackUuid(key.value())) {
     return Json::binary(*std::move(bytes));
@@ -78,7 +78,7 @@
   return array;
 }
 
-// Key, value, key, value ...
+// Encodes a map as an array of alternating keys and values.
 template <typename Key, typename Value>
 Json Encode(const std::map<Key, Value>& values) {
   Json array = Json::array();
@@ -97,7 +97,7 @@
   return Encode(*value);
 }
 
-// The number of the alternative, then its value.
+// Encodes a variant as the index of its alternative and its value.
 template <typename... Ts>
 Json Encode(const std::variant<Ts...>& value) {
   Json array = Json::array();
@@ -114,7 +114,7 @@
 }
 
 // --- Decoding -----------------------------------------------------------------------------------
-// Each overload checks the type and the bounds, and returns false when they do not fit.
+// Each overload checks type and bounds and returns false if they do not match.
 
 bool Decode(const Json& json, bool* value);
 template <typename T>
@@ -284,7 +284,7 @@
   return true;
 }
 
-// A record belongs under its own key.
+// Returns whether a record is stored under its own key.
 bool IsConsistent(const RecordChange& change) {
   return !change.record ||
          std::visit([](const auto& record) { return KeyOf(record); }, *change.record) == change.key;
--- a/src/transport/message_fields.h
+++ b/src/transport/message_fields.h
@@ -1,5 +1,5 @@
-// The fields of every message in wire order, and the last value of every enum on the wire. A new
-// field goes to the end of its list.
+// Fields of every message in wire order, and the last value of every enum on the wire. New fields
+// must be appended to the end of their list.
 #ifndef HINGESPAN_SRC_TRANSPORT_MESSAGE_FIELDS_H_
 #define HINGESPAN_SRC_TRANSPORT_MESSAGE_FIELDS_H_
 
@@ -11,14 +11,14 @@
 
 namespace hingespan {
 
-// Pointers to the members of T; specialized for each struct on the wire.
+// Pointers to the members of T. Specialized for each struct on the wire.
 template <typename T>
 inline constexpr auto kFields = nullptr;
 
 template <typename T>
 concept HasFields = !std::is_same_v<decltype(kFields<T>), const std::nullptr_t>;
 
-// The largest valid value of enum T.
+// Largest valid value of enum T.
 template <typename T>
 inline constexpr T kLastValue = T{};
 
--- a/src/transport/udp_transport.cc
+++ b/src/transport/udp_transport.cc
@@ -21,9 +21,9 @@
 namespace hingespan {
 namespace {
 
-// Larger than any datagram, so that none is cut.
+// Larger than any datagram, so that none is truncated.
 constexpr std::size_t kReceiveBufferBytes = 65536;
-// Room in the kernel for a burst of datagrams.
+// Size of the kernel receive buffer, which holds bursts of datagrams.
 constexpr int kSocketBufferBytes = 1 << 20;
 
 std::uint64_t RandomSender() {
@@ -43,8 +43,8 @@
   if (socket_ >= 0) {
     close(socket_);
   }
-  if (wake_ >= 0) {
-    close(wake_);
+  if (stop_event_ >= 0) {
+    close(stop_event_);
   }
 }
 
@@ -55,8 +55,8 @@
   }
   const int family = address->storage.ss_family;
   socket_ = socket(family, SOCK_DGRAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
-  wake_ = eventfd(0, EFD_CLOEXEC);
-  if (socket_ < 0 || wake_ < 0) {
+  stop_event_ = eventfd(0, EFD_CLOEXEC);
+  if (socket_ < 0 || stop_event_ < 0) {
     return Error::kUnavailable;
   }
   setsockopt(socket_, SOL_SOCKET, SO_RCVBUF, &kSocketBufferBytes, sizeof(kSocketBufferBytes));
@@ -80,7 +80,7 @@
     return;
   }
   const std::uint64_t one = 1;
-  if (write(wake_, &one, sizeof(one)) == sizeof(one)) {
+  if (write(stop_event_, &one, sizeof(one)) == sizeof(one)) {
     thread_.join();
   }
 }
@@ -126,7 +126,7 @@
 
 void UdpTransport::Receive() {
   std::string buffer(kReceiveBufferBytes, '\0');
-  std::array<pollfd, 2> entries{pollfd{socket_, POLLIN, 0}, pollfd{wake_, POLLIN, 0}};
+  std::array<pollfd, 2> entries{pollfd{socket_, POLLIN, 0}, pollfd{stop_event_, POLLIN, 0}};
   while (true) {
     if (poll(entries.data(), entries.size(), -1) < 0 && errno != EINTR) {
       return;
--- a/src/transport/uuid_bytes.cc
+++ b/src/transport/uuid_bytes.cc
@@ -6,7 +6,7 @@
 constexpr std::size_t kTextLength = 36;
 constexpr std::string_view kDigits = "0123456789abcdef";
 
-// Before this byte of the sixteen a hyphen is written.
+// Returns true if a hyphen precedes this byte in the text.
 bool FollowsHyphen(std::size_t byte) { return byte == 4 || byte == 6 || byte == 8 || byte == 10; }
 
 }  // namespace
--- a/src/transport/uuid_bytes.h
+++ b/src/transport/uuid_bytes.h
@@ -1,4 +1,4 @@
-// UUIDs as 16 bytes in place of 36 characters.
+// UUIDs encoded as 16 bytes instead of 36 characters.
 #ifndef HINGESPAN_SRC_TRANSPORT_UUID_BYTES_H_
 #define HINGESPAN_SRC_TRANSPORT_UUID_BYTES_H_
 
@@ -13,10 +13,10 @@
 
 inline constexpr std::size_t kUuidBytes = 16;
 
-// Of a UUID written 8-4-4-4-12 in lower case; none for any other text, so that UuidText gives back
-// exactly what was packed.
+// Returns the bytes of a UUID written as 8-4-4-4-12 in lower case; nullopt for any other text, so
+// that UuidText restores exactly the packed text.
 std::optional<std::vector<std::uint8_t>> PackUuid(std::string_view text);
-// `bytes` has kUuidBytes.
+// Returns the text of a UUID; `bytes` has kUuidBytes elements.
 std::string UuidText(const std::vector<std::uint8_t>& bytes);
 
 }  // namespace hingespan
--- a/tests/transport/fragments_test.cc
+++ b/tests/transport/fragments_test.cc
@@ -34,7 +34,7 @@
 };
 
 TEST_CASE_FIXTURE(Fixture,
-                  "messages of every length come out whole, from datagrams of their limit") {
+                  "messages of every length are reassembled from datagrams within the size limit") {
   for (const std::size_t size : {std::size_t{1}, kFragmentPartBytes, kFragmentPartBytes + 1,
                                  std::size_t{20000}, kMaximumMessageBytes}) {
     const std::string text = Text(size, size);
@@ -50,7 +50,7 @@
   }
 }
 
-TEST_CASE_FIXTURE(Fixture, "order and repetition do not matter") {
+TEST_CASE_FIXTURE(Fixture, "fragments may arrive in any order and repeatedly") {
   const std::string text = Text(10000, 1);
   std::vector<std::string> datagrams = SplitMessage({1, 1}, text);
   std::reverse(datagrams.begin(), datagrams.end());
@@ -63,7 +63,7 @@
   CHECK(reassembler.Add(last, now) == text);
 }
 
-TEST_CASE_FIXTURE(Fixture, "fragments of several senders and messages are kept apart") {
+TEST_CASE_FIXTURE(Fixture, "fragments of different senders and messages are not mixed") {
   const std::vector<FragmentedMessageId> ids = {{1, 1}, {1, 2}, {2, 1}, {3, 7}};
   std::vector<std::vector<std::string>> datagrams;
   for (std::size_t index = 0; index < ids.size(); ++index) {
@@ -79,7 +79,7 @@
   CHECK(reassembler.counters().completed == ids.size());
 }
 
-TEST_CASE_FIXTURE(Fixture, "a lost fragment loses its message, which is dropped in time") {
+TEST_CASE_FIXTURE(Fixture, "a message with a lost fragment is dropped after the time limit") {
   std::vector<std::string> datagrams = SplitMessage({1, 1}, Text(5000, 1));
   const std::string late = datagrams[1];
   datagrams.erase(datagrams.begin() + 1);
@@ -94,7 +94,7 @@
   CHECK(reassembler.held_bytes() == 0);
 }
 
-TEST_CASE_FIXTURE(Fixture, "memory is bounded, for one sender and for all") {
+TEST_CASE_FIXTURE(Fixture, "memory is bounded per sender and in total") {
   const ReassemblyOptions options;
   const std::string text = Text(kMaximumMessageBytes, 1);
   const auto add_incomplete = [&](std::uint64_t sender, std::uint64_t message) {
@@ -110,7 +110,7 @@
   }
   CHECK(reassembler.held_bytes() <= (options.messages_per_sender + 1) * kMaximumMessageBytes);
   CHECK(reassembler.counters().incomplete_dropped == 2 * options.messages_per_sender);
-  // One sender's flood takes no room from the other.
+  // The flood of one sender does not displace messages of another.
   CHECK(AddAll({other.begin() + 1, other.end()}) == text);
   for (std::uint64_t sender = 10; sender < 10 + 3 * options.messages; ++sender) {
     add_incomplete(sender, 1);
@@ -118,7 +118,7 @@
   CHECK(reassembler.held_bytes() <= options.messages * kMaximumMessageBytes);
 }
 
-TEST_CASE_FIXTURE(Fixture, "fragments that contradict themselves or others are dropped") {
+TEST_CASE_FIXTURE(Fixture, "invalid fragments and fragments that do not match others are dropped") {
   const std::string first = SplitMessage({1, 1}, Text(5000, 1)).front();
   const std::size_t index_at = kFragmentHeaderBytes - 2;
   std::string beyond = first;
--- a/tests/transport/message_codec_test.cc
+++ b/tests/transport/message_codec_test.cc
@@ -16,8 +16,7 @@
 namespace hingespan {
 namespace {
 
-// --- Random messages: every field of every message gets a random value.
-// ---------------------------
+// --- Random messages: every field of every message gets a random value --------------------------
 
 void Fill(bool* value) { *value = *rc::gen::arbitrary<bool>(); }
 void Fill(std::uint32_t* value) { *value = *rc::gen::arbitrary<std::uint32_t>(); }
@@ -92,8 +91,7 @@
   }
 }
 
-// --- Equality, field by field, as messages have no operator==.
-// ------------------------------------
+// --- Field-by-field equality, as messages have no operator== ------------------------------------
 
 template <typename T>
 bool Same(const T& left, const T& right);
@@ -159,7 +157,7 @@
   }));
 }
 
-TEST_CASE("changed bytes are malformed or decode to something that encodes again") {
+TEST_CASE("modified bytes are malformed or decode to an envelope that survives a round trip") {
   CHECK(rc::check("mutation", [] {
     Envelope sent;
     Fill(&sent);
@@ -186,7 +184,7 @@
   }));
 }
 
-TEST_CASE("bytes that harm a general CBOR parser are malformed") {
+TEST_CASE("input that is harmful to a general CBOR parser is malformed") {
   const std::vector<std::string> harmful = {
       "",
       std::string(60000, '\x81'),              // Deeply nested arrays.
@@ -211,33 +209,33 @@
   return bytes;
 }
 
-TEST_CASE("fields of a wrong type, range or number are malformed") {
+TEST_CASE("fields of a wrong type, range or count are malformed") {
   const auto envelope = [](nlohmann::json message) {
     return Cbor({"n1", 7, "z1", "127.0.0.1:1", std::move(message)});
   };
   using Json = nlohmann::json;
-  // RecordFetch is alternative 6 and has one unsigned field.
+  // RecordFetch has index 6 and one unsigned field.
   CHECK(DecodeEnvelope(envelope(Json::array({6, Json::array({5})}))).ok());
   CHECK_FALSE(DecodeEnvelope(envelope(Json::array({6, Json::array({-5})}))).ok());
   CHECK_FALSE(DecodeEnvelope(envelope(Json::array({6, Json::array({"5"})}))).ok());
   CHECK_FALSE(DecodeEnvelope(envelope(Json::array({6, Json::array()}))).ok());
   CHECK_FALSE(DecodeEnvelope(envelope(Json::array({6, Json::array({5, 5})}))).ok());
   CHECK_FALSE(DecodeEnvelope(envelope(Json::array({99, Json::array({5})}))).ok());
-  // ClaimReply is alternative 22; its last field is an enum of four values.
+  // ClaimReply has index 22; its last field is an enum of four values.
   CHECK(DecodeEnvelope(envelope(Json::array({22, Json::array({"k", "a", 3})}))).ok());
   CHECK_FALSE(DecodeEnvelope(envelope(Json::array({22, Json::array({"k", "a", 4})}))).ok());
-  // Text that is not UTF-8.
+  // Text that is not valid UTF-8.
   CHECK_FALSE(DecodeEnvelope(envelope(Json::array({22, Json::array({"\xff", "a", 3})}))).ok());
 }
 
 ClaimReply ReplyFor(const std::string& key) { return {IdempotencyKey(key), RequestId("a")}; }
 
-TEST_CASE("a key that is a UUID takes 17 bytes, and every key comes back as it was written") {
+TEST_CASE("a UUID key takes 17 bytes, and every key survives a round trip unchanged") {
   const std::string uuid = "0193f2a8-0c4e-7abc-8def-0123456789af";
   const auto bytes_of = [](const std::string& key) {
     return EncodeEnvelope(EnvelopeOf(ReplyFor(key))).size();
   };
-  // An empty text takes one byte.
+  // An empty text takes one byte, a UUID 17.
   CHECK(bytes_of(uuid) == bytes_of("") + 16);
   for (const std::string& key :
        {uuid, std::string("0193F2A8-0C4E-7ABC-8DEF-0123456789AF"),
@@ -253,7 +251,7 @@
   }
 }
 
-TEST_CASE("bytes stand for a key only, and only sixteen") {
+TEST_CASE("bytes are accepted only for keys, and only 16 of them") {
   const auto reply = [](const nlohmann::json& key, const nlohmann::json& attempt) {
     const nlohmann::json message = {22, {key, attempt, 3}};
     return DecodeEnvelope(Cbor({"n1", 7, "z1", "", message}));
@@ -267,7 +265,7 @@
   CHECK_FALSE(reply("k", bytes(16)).ok());
 }
 
-TEST_CASE("a message carries its sender's address only if its answer goes there") {
+TEST_CASE("a message carries the address of its sender only if the reply is sent there") {
   CHECK(NeedsReplyAddress(Probe()));
   CHECK(NeedsReplyAddress(JoinRequest()));
   CHECK_FALSE(NeedsReplyAddress(ProbeAck()));
@@ -275,13 +273,13 @@
   CHECK_FALSE(NeedsReplyAddress(ClaimRequest()));
 }
 
-TEST_CASE("a record under the key of another is malformed") {
+TEST_CASE("a record under another record's key is malformed") {
   RecordChanges changes;
   changes.changes.push_back({"rows/other", TableRevision(1), ModelRow{ModelName("m1")}});
   CHECK_FALSE(DecodeEnvelope(EncodeEnvelope(EnvelopeOf(changes))).ok());
 }
 
-TEST_CASE("the size of a change is what it adds to a message") {
+TEST_CASE("the encoded size of a change is the size that it adds to a message") {
   RecordChanges changes;
   const std::size_t empty = EncodeEnvelope(EnvelopeOf(changes)).size();
   const RecordChange change{"rows/m1", TableRevision(1), ModelRow{ModelName("m1")}};
--- a/tests/transport_udp/large_message_test.cc
+++ b/tests/transport_udp/large_message_test.cc
@@ -1,4 +1,4 @@
-// Messages larger than a datagram, over real sockets.
+// Sends messages larger than a datagram over real sockets.
 #include <doctest/doctest.h>
 
 #include <optional>
@@ -12,7 +12,7 @@
 namespace hingespan {
 namespace {
 
-constexpr absl::Duration kLimit = absl::Seconds(20);
+constexpr absl::Duration kReceiveTimeout = absl::Seconds(20);
 
 Envelope GrantEnvelope(int slots) {
   GrantRecord grant;
@@ -36,7 +36,7 @@
   return envelope;
 }
 
-// The first envelope that arrives.
+// Receives envelopes and returns the latest one, once one has arrived.
 class Receiver {
  public:
   explicit Receiver(const std::string& key) : transport_({"127.0.0.1:0", key}) {
@@ -50,8 +50,8 @@
 
   std::optional<Envelope> Wait() {
     absl::MutexLock lock(&mutex_);
-    const auto has_come = [&] { return envelope_.has_value(); };
-    mutex_.AwaitWithTimeout(absl::Condition(&has_come), kLimit);
+    const auto has_arrived = [&] { return envelope_.has_value(); };
+    mutex_.AwaitWithTimeout(absl::Condition(&has_arrived), kReceiveTimeout);
     return envelope_;
   }
   const std::string& address() const { return address_; }
@@ -63,7 +63,7 @@
   UdpTransport transport_;
 };
 
-TEST_CASE("a grant record of many slots, larger than a datagram, arrives whole") {
+TEST_CASE("a grant record larger than a datagram arrives complete") {
   for (const int slots : {60, 600}) {
     for (const char* key : {"", "cluster key"}) {
       const Envelope sent = GrantEnvelope(slots);
--- a/tests/transport_udp/udp_transport_test.cc
+++ b/tests/transport_udp/udp_transport_test.cc
@@ -10,7 +10,7 @@
 namespace hingespan {
 namespace {
 
-constexpr absl::Duration kLimit = absl::Seconds(20);
+constexpr absl::Duration kReceiveTimeout = absl::Seconds(20);
 
 Envelope MakeEnvelope(std::uint64_t sequence) {
   Envelope envelope;
@@ -34,11 +34,11 @@
     });
   }
 
-  // Waits until `sequence` has come; all that came until then.
+  // Waits until `sequence` has arrived and returns all sequences received so far.
   std::vector<std::uint64_t> WaitFor(std::uint64_t sequence) {
     absl::MutexLock lock(&mutex_);
-    const auto has_come = [&] { return !sequences_.empty() && sequences_.back() == sequence; };
-    mutex_.AwaitWithTimeout(absl::Condition(&has_come), kLimit);
+    const auto has_arrived = [&] { return !sequences_.empty() && sequences_.back() == sequence; };
+    mutex_.AwaitWithTimeout(absl::Condition(&has_arrived), kReceiveTimeout);
     return sequences_;
   }
 
@@ -73,14 +73,14 @@
   UdpTransport right_sender({"127.0.0.1:0", "right key"});
   CHECK(!Bound(&unsigned_sender).Send(receiver.address(), MakeEnvelope(1)));
   CHECK(!Bound(&wrong_sender).Send(receiver.address(), MakeEnvelope(2)));
-  // Loopback keeps the order, so the last one closes the sequence.
+  // The loopback interface keeps the order, so the last datagram arrives last.
   CHECK(!Bound(&right_sender).Send(receiver.address(), MakeEnvelope(3)));
   CHECK(receiver.WaitFor(3) == std::vector<std::uint64_t>{3});
   CHECK(receiver.transport().counters().unsigned_dropped == 2);
 }
 
 TEST_CASE("unreadable datagrams are dropped and counted") {
-  // A signed datagram at a receiver without a key has trailing bytes.
+  // For a receiver without a key, a signed datagram has trailing bytes.
   Receiver receiver("");
   UdpTransport sender({"127.0.0.1:0", "key"});
   UdpTransport plain({"127.0.0.1:0", ""});
@@ -90,7 +90,7 @@
   CHECK(receiver.transport().counters().malformed_dropped == 1);
 }
 
-TEST_CASE("what can't be sent is said and counted") {
+TEST_CASE("messages that cannot be sent are reported and counted") {
   UdpTransport sender({"127.0.0.1:0", ""});
   Envelope large = MakeEnvelope(1);
   large.reply_address.assign(kMaximumMessageBytes, 'a');
@@ -101,7 +101,7 @@
   CHECK(sender.counters().messages_sent == 0);
 }
 
-TEST_CASE("an address that is taken is an error") {
+TEST_CASE("binding an address in use is an error") {
   Receiver receiver("");
   UdpTransport second({receiver.address(), ""});
   CHECK(second.Bind().error() == Error::kUnavailable);
