--- a/include/hingespan/serving/configuration.h
+++ b/include/hingespan/serving/configuration.h
@@ -1,5 +1,5 @@
-// What the operator configures: routes, the services behind them, and limits on callers. One
-// version is a value: it is applied whole or not at all.
+// Operator configuration: routes, the services behind them, and limits on callers. Each version is
+// an immutable value that is applied as a whole or not at all.
 #ifndef HINGESPAN_SERVING_CONFIGURATION_H_
 #define HINGESPAN_SERVING_CONFIGURATION_H_
 
@@ -14,15 +14,15 @@
 namespace hingespan::gateway {
 
 enum class RouteKind {
-  // May run more than once.
+  // The request may be executed more than once.
   kIdempotent,
-  // May run once at most.
+  // The request is executed at most once.
   kNonIdempotent,
-  // Answered by a series of events; may run once at most unless it is resumable.
+  // Answered by a series of events; executed at most once unless the route is resumable.
   kStreaming,
 };
 
-// The part of a route's requests that one service takes.
+// A service and its share of a route's requests.
 struct ServiceShare {
   std::string service;
   double weight = 1.0;
@@ -31,25 +31,25 @@
 struct Route {
   std::string name;
   std::string host;
-  // Begins and ends with a slash.
+  // Starts and ends with a slash.
   std::string path_prefix;
   RouteKind kind = RouteKind::kNonIdempotent;
-  // The longest that a request is held.
+  // Upper limit on the total time of a request.
   absl::Duration timeout = absl::Seconds(30);
-  // An answer within it earns its full credit; of streams, the first event.
+  // Target time to the answer; for streams, to the first event.
   absl::Duration target_latency = absl::Seconds(1);
-  // The longest pause between two events of a stream that is still in time.
+  // Target for the longest pause between two events of a stream.
   absl::Duration target_gap = absl::Milliseconds(300);
-  // Distinct workers that one request may be sent to.
+  // Maximum number of distinct workers that one request may be sent to.
   int max_attempts = 1;
-  // 0 is the most urgent.
+  // Lower values are more urgent; 0 is the most urgent.
   int priority = 5;
-  // A stream may be continued at another worker behind its last whole event.
+  // True if a broken stream may be continued at another worker after its last complete event.
   bool resumable = false;
-  // At least one.
+  // Contains at least one service.
   std::vector<ServiceShare> services;
 
-  // Whether a request that may have run may be sent to a worker again.
+  // Returns whether a request that may have been executed may be sent to a worker again.
   bool MayRunAgain() const {
     return kind == RouteKind::kIdempotent || (kind == RouteKind::kStreaming && resumable);
   }
@@ -58,40 +58,40 @@
 struct ModelSpecification {
   std::string name;
   double memory_mb = 0;
-  // From the weight store, and from a worker's own disk or host memory.
+  // Load times from the weight store, and from a worker's own disk or host memory.
   absl::Duration load_time;
   absl::Duration load_time_from_disk;
   absl::Duration load_time_from_memory;
-  // Adapters are named a1, a2 and onward.
+  // Number of adapters; they are named a1, a2 and so on.
   int adapters = 0;
   double adapter_memory_mb = 0;
 };
 
-// The workers of a model service are alike in this.
+// Properties that all workers of a model service have in common.
 struct EngineSpecification {
   int slots = 1;
-  // Tokens of running requests and kept prompts that a worker's memory holds.
+  // Number of tokens, of running requests and cached prompts, that fit into a worker's memory.
   std::int64_t token_capacity = 0;
   double memory_mb = 0;
   int adapter_slots = 0;
-  // Loads from the weight store that may begin a second, over all workers.
+  // Maximum rate at which loads from the weight store may start, over all workers.
   double loads_per_second = 1;
-  // By name.
+  // Models by name.
   std::map<std::string, ModelSpecification> models;
 };
 
 struct Service {
   std::string name;
-  // Connections that a worker takes from all callers together.
+  // Maximum number of connections that a worker accepts from all callers together.
   int max_connections = 0;
-  // Absent: a plain service, without models.
+  // Absent for a plain service, which has no models.
   std::optional<EngineSpecification> engine;
 
-  // Null when the service has no such model.
+  // Returns null if the service has no such model.
   const ModelSpecification* FindModel(const std::string& model) const;
 };
 
-// Bounds on what a caller may send and how long it may take.
+// Limits on the size of a caller's request and on the time taken to send it.
 struct CallerLimits {
   std::uint32_t max_head_bytes = 16 * 1024;
   std::uint64_t max_body_bytes = 4 * 1024 * 1024;
@@ -100,13 +100,13 @@
 };
 
 struct Configuration {
-  // Rises with each change, by uneven steps.
+  // Increases with each change; versions need not be consecutive.
   std::uint64_t version = 0;
   std::vector<Route> routes;
   std::vector<Service> services;
   CallerLimits limits;
 
-  // Null when there is no such service.
+  // Returns null if there is no such service.
   const Service* FindService(const std::string& name) const;
 };
 
--- a/include/hingespan/serving/decision_log.h
+++ b/include/hingespan/serving/decision_log.h
@@ -1,5 +1,5 @@
-// Structured log lines on standard output: one for each decision. Never blocks: what a slow reader
-// does not take, and what exceeds a rate, is left out and counted.
+// Structured log with one line for each decision, on standard output. Writing never blocks: lines
+// that a slow reader doesn't take or that exceed the rate limit are dropped and counted.
 #ifndef HINGESPAN_SERVING_DECISION_LOG_H_
 #define HINGESPAN_SERVING_DECISION_LOG_H_
 
@@ -16,27 +16,28 @@
 namespace hingespan::gateway {
 
 struct DecisionLogLimits {
-  // Lines of one event a second, and how many may come at once.
+  // Token bucket for the lines of each event: refill rate and capacity.
   double lines_per_second = 50;
   double burst = 200;
-  // Bytes that may wait for the reader.
+  // Maximum number of bytes buffered for a slow reader.
   std::size_t max_buffered = 256 * 1024;
 };
 
-// Not thread-safe; one for each process.
+// Not thread-safe; each process has one instance.
 class DecisionLog {
  public:
-  // Writes to `descriptor`, which is set to non-blocking; -1: nowhere.
+  // Writes to `descriptor`, which is set to non-blocking mode; -1 discards all lines.
   DecisionLog(int descriptor, Clock* clock, const DecisionLogLimits& limits);
 
   void SetSource(std::string program, std::string node, std::string zone);
   void SetLevel(LogLevel level) { level_ = level; }
   void Write(LogLevel level, absl::string_view event, std::initializer_list<LogField> fields);
-  // Writes what waits, as far as the reader takes it.
+  // Writes buffered bytes without blocking, as far as the reader accepts them.
   void Flush();
-  // Waits for the reader for so long at most: for a process that ends.
+  // Waits up to `limit` for the reader to accept the buffered bytes; for use before the process
+  // exits.
   void FlushWithin(absl::Duration limit);
-  // Lines left out since the start.
+  // Number of lines dropped since the start.
   std::uint64_t left_out() const { return left_out_; }
 
  private:
--- a/include/hingespan/serving/deployment_reader.h
+++ b/include/hingespan/serving/deployment_reader.h
@@ -1,5 +1,5 @@
-// Reads what the operator and the workers write to the shared store. Implemented by the adapter of
-// the platform.
+// Decodes the rows that the operator and the workers write to the shared store. Implemented by the
+// platform adapter.
 #ifndef HINGESPAN_SERVING_DEPLOYMENT_READER_H_
 #define HINGESPAN_SERVING_DEPLOYMENT_READER_H_
 
@@ -15,7 +15,7 @@
 class DeploymentReader {
  public:
   virtual ~DeploymentReader() = default;
-  // The table and key of the configuration, and the table of the workers.
+  // Table and key of the configuration, and table of the workers.
   virtual std::string configuration_table() const = 0;
   virtual std::string configuration_key() const = 0;
   virtual std::string worker_table() const = 0;
--- a/include/hingespan/serving/event_splitter.h
+++ b/include/hingespan/serving/event_splitter.h
@@ -1,4 +1,4 @@
-// Splits a stream of server-sent events into whole events and finds the id of the last one.
+// Splits a stream of server-sent events into complete events and tracks the id of the last one.
 #ifndef HINGESPAN_SERVING_EVENT_SPLITTER_H_
 #define HINGESPAN_SERVING_EVENT_SPLITTER_H_
 
@@ -8,17 +8,17 @@
 
 namespace hingespan::gateway {
 
-// Pure. Bytes behind the last whole event are held back: a stream that breaks off in the middle of
-// an event can then go on at another worker.
+// Does no I/O. Bytes after the last complete event are held back, so that a stream that breaks off
+// in the middle of an event can be resumed at another worker. Not thread-safe.
 class EventSplitter {
  public:
-  // Returns the whole events that `piece` completes, with all that was held back of them.
+  // Returns the events that `piece` completes, including their bytes that were held back before.
   std::string Feed(absl::string_view piece);
-  // What was held back, e.g. when the stream ended in good order.
+  // Returns and clears the bytes that were held back, e.g. when the stream ended normally.
   std::string TakeRest();
-  // Forgets what was held back, for a stream that goes on elsewhere.
+  // Discards the bytes that were held back, for a stream that is resumed at another worker.
   void DropRest() { held_.clear(); }
-  // Id of the last whole event; empty: none yet.
+  // Id of the last complete event; empty if there is none yet.
   const std::string& last_event_id() const { return last_event_id_; }
   bool any_event() const { return any_event_; }
 
--- a/include/hingespan/serving/fleet_share.h
+++ b/include/hingespan/serving/fleet_share.h
@@ -1,5 +1,5 @@
-// This node's part of a limit that all nodes together keep to without asking each other: a lease on
-// a share, which the node's row in the fleet's table stands for.
+// This node's share of a limit that all nodes together must not exceed, computed without messages
+// between them. A node holds its share as a lease, which its row in the fleet table represents.
 #ifndef HINGESPAN_SERVING_FLEET_SHARE_H_
 #define HINGESPAN_SERVING_FLEET_SHARE_H_
 
@@ -13,37 +13,38 @@
 namespace hingespan::gateway {
 
 struct FleetShareTimes {
-  // A read that shows the node's own row confirms its part for this long.
+  // A read that contains the node's own row confirms its share for this long.
   absl::Duration confirmed = absl::Seconds(10);
-  // How old the rows are that a read gives, at most.
+  // Maximum age of the rows that a read returns.
   absl::Duration oldest_copy = absl::Seconds(3);
 
-  // How long after its row was first seen a node has no part, and how long one whose row is gone
-  // is counted: until every older read has run out.
+  // A node has no share for this long after its row was first seen, and a node whose row was
+  // removed is still counted for this long: until every older read has expired.
   absl::Duration Settling() const { return confirmed + oldest_copy; }
 };
 
-// Of two nodes that have their parts at the same time each counts the other.
-// Pure; not thread-safe.
+// If two nodes hold a share at the same time, each counts the other.
+// Does no I/O; not thread-safe.
 class FleetShare {
  public:
   explicit FleetShare(std::string node, const FleetShareTimes& times = {})
       : node_(std::move(node)), times_(times) {}
 
-  // The nodes whose rows the fleet's table held, as a read begun at `asked` gave them.
+  // Sets the nodes that have a row in the fleet table, as returned by a read that was started at
+  // `read_started`.
   void SetNodes(const std::vector<std::string>& nodes, absl::Time asked, absl::Time now);
-  // Among how many nodes the limit is divided; 0: this node has no part now.
+  // Number of nodes by which the limit is divided; 0 if this node has no share now.
   int Divisor(absl::Time now) const;
-  // The number of nodes that may have a part.
+  // Number of nodes that may hold a share.
   int Counted(absl::Time now) const;
 
  private:
   std::string node_;
   FleetShareTimes times_;
-  // When this node's row was first seen, and the last read that showed it.
+  // Time at which this node's row was first seen, and start of the last read that contained it.
   absl::Time joined_ = absl::InfiniteFuture();
   absl::Time confirmed_ = absl::InfinitePast();
-  // InfiniteFuture while a node's row is there.
+  // Time until which each node is counted; InfiniteFuture while its row exists.
   std::map<std::string, absl::Time> counted_until_;
 };
 
--- a/include/hingespan/serving/gateway.h
+++ b/include/hingespan/serving/gateway.h
@@ -1,5 +1,5 @@
-// The data path of one node: callers' connections, the queue, the workers, the configuration in
-// force.
+// Data path of one node: callers' connections, the request queue, the workers and the current
+// configuration.
 #ifndef HINGESPAN_SERVING_GATEWAY_H_
 #define HINGESPAN_SERVING_GATEWAY_H_
 
@@ -32,7 +32,7 @@
 
 namespace hingespan::gateway {
 
-// What the adapter of a platform brings.
+// Objects that the platform adapter provides. They must outlive the gateway.
 struct GatewayParts {
   EventLoop* loop = nullptr;
   const RequestDialect* dialect = nullptr;
@@ -44,24 +44,24 @@
   GatewayMetrics* metrics = nullptr;
 };
 
-// Not thread-safe; lives on its loop.
+// Not thread-safe; used only on its event loop.
 class Gateway : public RelayHost {
  public:
   Gateway(GatewaySettings settings, GatewayParts parts);
   ~Gateway() override;
 
-  // Opens the addresses of the settings and begins to follow the store.
+  // Listens on the configured addresses and starts to follow the store.
   std::error_code Start();
-  // Takes no new work after a while, ends what runs, then calls `done`, at the latest shortly
-  // before the settings' stop time is over.
+  // Accepts new requests for a short while longer, completes those in flight, then calls `done`, at
+  // the latest shortly before the configured stop time is over.
   void Stop(std::function<void()> done);
 
   bool ready() const;
-  // The number of nodes that have a part of the budget of repeats; 0: not known yet.
+  // Number of nodes that may hold a share of the retry budget; 0 if not known yet.
   int fleet_size();
   std::string request_address() const { return requests_.address(); }
   std::string status_address() const { return status_.address(); }
-  // Empty where the settings give none.
+  // Empty if no address is configured.
   std::string metrics_address() const { return metrics_.address(); }
 
   void Enqueue(const QueuePlace& place, std::shared_ptr<RequestRelay> request) override;
@@ -99,7 +99,7 @@
   RetryBudget budget_;
   HttpServer requests_;
   HttpServer status_;
-  // Metrics alone; listens only where the settings give an address.
+  // Serves only metrics; listens only if an address is configured.
   HttpServer metrics_;
   PeerLink peers_;
   SharedReading reading_;
@@ -107,10 +107,11 @@
   std::unique_ptr<TableFollower> configuration_follower_;
   std::unique_ptr<TableFollower> worker_follower_;
   RequestQueue queue_;
-  // All requests that have not ended, by number.
+  // All requests that have not ended, by their number.
   std::map<std::uint64_t, std::shared_ptr<RequestRelay>> open_requests_;
   std::map<std::pair<std::string, ModelKey>, DemandCounts> demand_;
-  // A caller that was told when its model is there, until it should have come back.
+  // A caller that was asked to retry when its model is ready; counted until `until`, by when it
+  // should have returned.
   struct ReturningCaller {
     std::pair<std::string, ModelKey> key;
     absl::Time until;
--- a/include/hingespan/serving/gateway_metrics.h
+++ b/include/hingespan/serving/gateway_metrics.h
@@ -1,4 +1,4 @@
-// Every counter and histogram of a gateway in one struct, and their text for a Prometheus server.
+// Counters and histograms of a gateway, and their text form for a Prometheus server.
 #ifndef HINGESPAN_SERVING_GATEWAY_METRICS_H_
 #define HINGESPAN_SERVING_GATEWAY_METRICS_H_
 
@@ -16,7 +16,7 @@
 // Counts durations in fixed buckets.
 class LatencyHistogram {
  public:
-  // Upper bounds in seconds; a last bucket takes the rest.
+  // Upper bounds in seconds; one more bucket counts everything above the last bound.
   static constexpr std::array<double, 12> kBounds = {0.005, 0.01, 0.025, 0.05, 0.1,  0.25,
                                                      0.5,   1.0,  2.5,   5.0,  10.0, 25.0};
   void Record(absl::Duration duration);
@@ -29,9 +29,10 @@
 };
 
 struct GatewayMetrics {
-  // By final status to the caller; 0: the caller left or the stream was broken off.
+  // Requests by final status sent to the caller; 0 if the caller disconnected or the stream was
+  // broken off.
   std::map<int, std::uint64_t> requests_by_status;
-  // By reason.
+  // Refused requests by reason.
   std::map<std::string, std::uint64_t> refusals;
   std::uint64_t attempts = 0;
   std::uint64_t repeats = 0;
@@ -49,18 +50,18 @@
   LatencyHistogram queue_wait;
   LatencyHistogram first_byte;
   LatencyHistogram whole_request;
-  // Set when the text is made.
+  // The following values are set when the metrics are rendered.
   std::uint64_t waiting_now = 0;
   std::uint64_t configuration_version = 0;
   ServerActivity connections;
   bool holds_lease = false;
-  // By service.
+  // Retry counts by service.
   std::map<std::string, RetryCounts> retries;
   int retry_divisor = 0;
   bool in_first_retry_window = false;
 };
 
-// The text exposition format of Prometheus.
+// Renders the metrics in the Prometheus text exposition format.
 std::string MetricsText(const GatewayMetrics& metrics);
 
 }  // namespace hingespan::gateway
--- a/include/hingespan/serving/gateway_settings.h
+++ b/include/hingespan/serving/gateway_settings.h
@@ -1,4 +1,4 @@
-// Settings of a gateway, in the product's own TOML.
+// Settings of a gateway, read from TOML.
 #ifndef HINGESPAN_SERVING_GATEWAY_SETTINGS_H_
 #define HINGESPAN_SERVING_GATEWAY_SETTINGS_H_
 
@@ -12,17 +12,17 @@
 
 namespace hingespan::gateway {
 
-// What the gateway weighs for each request; false switches a mechanism off.
+// Mechanisms that the gateway applies to each request; false switches one off.
 struct ServingPolicy {
-  // A caller whose answer would be late is told at once to come back when its model is there.
+  // Callers whose answers would be late are asked at once to retry when their model is ready.
   bool return_when_late = true;
-  // Callers told to come back count as waiting until then.
+  // Callers that were asked to retry later count as waiting until then.
   bool count_returning = true;
-  // Workers that keep parts of a request's prompt are preferred.
+  // Workers that have cached parts of a request's prompt are preferred.
   bool prefer_kept_prompts = true;
-  // Workers of the node's zone are preferred.
+  // Workers in the node's own zone are preferred.
   bool prefer_own_zone = true;
-  // Workers with failures and long first events are avoided.
+  // Workers that failed recently or answer slowly are avoided.
   bool judge_workers = true;
 };
 
@@ -30,32 +30,32 @@
   ServingPolicy serving;
   PlacementPolicy placement;
   WeightStoreLimitSettings weight_store;
-  // A model gets one more replica when this many requests run or wait for each.
+  // A model gets one more replica when this many requests run or wait for each of its replicas.
   double requests_for_each_replica = 7;
-  // A replica counts as just loaded for so long.
+  // Time for which a replica counts as just loaded.
   absl::Duration fresh_replica = absl::Seconds(1);
   std::string node;
   std::string zone;
-  // Of this machine's link; 0: not known.
+  // Bandwidth of this machine's network link; 0 if not known.
   double link_mbps = 0;
-  // Callers' requests.
+  // Address for callers' requests.
   std::string request_listen;
-  // Readiness and metrics.
+  // Address for readiness checks and metrics.
   std::string status_listen;
   std::string readiness_path = "/ready";
   std::string metrics_path = "/metrics";
-  // A further address for metrics; empty: none.
+  // Additional address for metrics only; empty for none.
   std::string metrics_listen;
-  // Datagrams between nodes.
+  // Address for datagrams between nodes.
   std::string peer_listen;
   std::string store_address;
-  // Largest value of a row of the store.
+  // Maximum size of a row's value in the store.
   int store_row_bytes = 65536;
   absl::Duration lease = absl::Seconds(3);
-  // Whether workers refuse an order whose fencing token is lower than one they have seen. False is
-  // the careful choice: a takeover then waits until no older order can arrive.
+  // True if workers refuse an order whose fencing token is lower than one they have seen. False is
+  // the conservative choice: a new lease holder then waits until no older order can arrive.
   bool workers_check_tokens = false;
-  // From the request to stop until the process must have ended.
+  // Time from the request to stop until the process must have exited.
   absl::Duration stop_time = absl::Seconds(8);
   double retry_ratio = 0.2;
   double retry_extra = 10;
@@ -64,8 +64,8 @@
   LogLevel log_level = LogLevel::kInfo;
 };
 
-// Collects all findings of the text; the settings are meaningful when there are none. Unknown keys
-// are allowed: a deployment may say more than this version knows.
+// Parses `text` and appends all problems to `findings`; the result is valid only if there are none.
+// Unknown keys are allowed, as a deployment may contain keys that this version doesn't know.
 GatewaySettings ReadGatewaySettings(absl::string_view text, const std::string& file,
                                     Findings* findings);
 
--- a/include/hingespan/serving/request_dialect.h
+++ b/include/hingespan/serving/request_dialect.h
@@ -1,6 +1,5 @@
-// How requests and answers are spelled on the wire of a deployment, as typed facts. Implemented by
-// the adapter of the platform; nothing else knows the names of header fields that carry these
-// facts.
+// Translates between a deployment's header fields and typed facts about requests and answers.
+// Implemented by the platform adapter; no other code knows the names of these header fields.
 #ifndef HINGESPAN_SERVING_REQUEST_DIALECT_H_
 #define HINGESPAN_SERVING_REQUEST_DIALECT_H_
 
@@ -13,65 +12,66 @@
 
 namespace hingespan::gateway {
 
-// A part of a prompt, in order; parts with the same id are the same text.
+// One of the consecutive parts of a prompt; parts with the same id have the same text.
 struct PromptPart {
   std::string id;
   int tokens = 0;
 };
 
-// What a caller's request says.
+// Facts that a caller's request carries.
 struct RequestFacts {
-  // Unique to one attempt of a client; empty when it has none.
+  // Unique to one attempt of a client; empty if the request carries none.
   std::string id;
-  // How long the caller will wait.
+  // Time for which the caller will wait.
   std::optional<absl::Duration> deadline;
   // Empty for plain services.
   std::string model;
-  // Empty: the model itself.
+  // Empty for the base model.
   std::string adapter;
   int prompt_tokens = 0;
   int max_output_tokens = 0;
   std::vector<PromptPart> prompt_parts;
-  // The caller has the events up to this one; empty: none.
+  // Last event that the caller has received; empty if none.
   std::string last_event_id;
 };
 
-// What one attempt at a worker says beside the caller's own fields.
+// Facts that an attempt sent to a worker carries in addition to the caller's own fields.
 struct AttemptFacts {
   std::string worker_id;
   absl::Duration time_left;
   int priority = 5;
-  // Where the worker is to go on; empty: as the caller said.
+  // Event after which the worker resumes the stream; empty to use the caller's value.
   std::string last_event_id;
 };
 
-// What a worker's answer says.
+// Facts that a worker's answer carries.
 struct AnswerFacts {
-  // Echo of the request's id; empty when missing.
+  // Echo of the request's id; empty if missing.
   std::string id;
-  // The worker did not run the request and never will.
+  // The worker has not executed the request and never will.
   bool not_executed = false;
-  // It is not the worker that was meant, or holds no such model; then `not_executed` is set too.
+  // The answering worker is not the intended one or doesn't hold the model. Implies `not_executed`.
   bool misdirected = false;
-  // Another worker than the one that was meant answers at its address: that one has ended.
+  // Another worker answers at the intended worker's address, so the intended worker has ended.
   bool from_other_worker = false;
-  // Its body is encoded, which no worker does: callers ask for bodies as they are.
+  // The body has a content encoding. Workers never encode bodies, as callers ask for the identity
+  // encoding.
   bool is_encoded = false;
-  // It carries a worker's signature.
+  // The answer carries a worker's signature.
   bool is_signed = false;
 };
 
-// Stateless; used on one loop.
+// Stateless; used on one event loop.
 class RequestDialect {
  public:
   virtual ~RequestDialect() = default;
   virtual RequestFacts ReadRequest(const RequestHead& head) const = 0;
-  // The caller's fields that go on to a worker, with those of this attempt.
+  // Returns the caller's fields that are forwarded to a worker, with those of this attempt.
   virtual HeaderFields AttemptFields(const RequestHead& head,
                                      const AttemptFacts& attempt) const = 0;
-  // `worker_id` is the worker that was asked.
+  // `worker_id` is the worker to which the request was sent.
   virtual AnswerFacts ReadAnswer(const AnswerHead& head, const std::string& worker_id) const = 0;
-  // The worker's fields that go on to the caller.
+  // Returns the worker's fields that are forwarded to the caller.
   virtual HeaderFields CallerFields(const AnswerHead& head) const = 0;
 };
 
--- a/include/hingespan/serving/request_queue.h
+++ b/include/hingespan/serving/request_queue.h
@@ -1,4 +1,4 @@
-// The requests of a node that wait for a worker: the most urgent first, then by deadline.
+// Requests of a node that wait for a worker, ordered by priority, then by deadline.
 #ifndef HINGESPAN_SERVING_REQUEST_QUEUE_H_
 #define HINGESPAN_SERVING_REQUEST_QUEUE_H_
 
@@ -14,11 +14,11 @@
 
 class RequestRelay;
 
-// Where a request stands in the queue.
+// Position of a request in the queue.
 struct QueuePlace {
   int priority = 0;
   absl::Time deadline;
-  // Of arrival; makes places unique.
+  // Sequence number of arrival; makes positions unique.
   std::uint64_t number = 0;
   friend auto operator<=>(const QueuePlace& left, const QueuePlace& right) {
     if (left.priority != right.priority) {
@@ -43,7 +43,7 @@
   void Remove(const QueuePlace& place) { requests_.erase(place); }
   bool empty() const { return requests_.empty(); }
   std::size_t size() const { return requests_.size(); }
-  // In order; a copy, so that requests may leave while it is gone through.
+  // Returns the requests in order, as a copy, so that requests may leave during iteration.
   std::vector<std::shared_ptr<RequestRelay>> InOrder() const {
     std::vector<std::shared_ptr<RequestRelay>> list;
     list.reserve(requests_.size());
--- a/include/hingespan/serving/request_relay.h
+++ b/include/hingespan/serving/request_relay.h
@@ -1,9 +1,9 @@
-// One caller's request on its way: waiting for a worker, running at one, perhaps at a second,
-// answered.
+// Handles one caller's request: queues it, sends it to one or more workers and relays the answer.
 //
-// States: waiting (in the queue), running (an attempt is under way), ended. A request that may have
-// run is sent again only where its route allows it; one that has certainly not run is refused with
-// 503, which promises so; all others that fail end with 502 or 504, which promise nothing.
+// States: waiting (in the queue), running (an attempt is in flight), ended. A request that may have
+// been executed is sent again only if its route allows it. A request that was certainly not
+// executed is refused with 503, which guarantees this; all other failures end with 502 or 504,
+// which don't.
 #ifndef HINGESPAN_SERVING_REQUEST_RELAY_H_
 #define HINGESPAN_SERVING_REQUEST_RELAY_H_
 
@@ -29,27 +29,29 @@
 
 struct GatewayMetrics;
 
-// What a request uses of its gateway.
+// Interface of the gateway to its requests.
 class RelayHost {
  public:
   virtual ~RelayHost() = default;
   virtual void Enqueue(const QueuePlace& place, std::shared_ptr<RequestRelay> request) = 0;
   virtual void Dequeue(const QueuePlace& place) = 0;
-  // A worker may have room again; not within this call.
+  // Schedules another attempt to dispatch waiting requests, as a worker may have room again.
+  // Nothing is dispatched within this call.
   virtual void PumpSoon() = 0;
   virtual void RunningChanged(const std::string& service, const ModelKey& model, int change) = 0;
-  // When a replica is expected to be ready; InfiniteFuture: nothing is known.
+  // Time at which a replica is expected to be ready; InfiniteFuture if nothing is known.
   virtual absl::Time ExpectedReady(const ModelKey& model) const = 0;
-  // A caller was refused and told to come back then: the model is still asked for.
+  // Called when a caller was refused and asked to retry at `at`; there is still demand for the
+  // model.
   virtual void ToldToReturn(const std::string& service, const ModelKey& model, absl::Time at) = 0;
-  // When this node, which stops, must have answered everything; InfiniteFuture: it does not stop.
+  // Time by which this node must have answered all requests; InfiniteFuture unless it is stopping.
   virtual absl::Time StopLimit() const = 0;
-  // The host keeps a request alive from Start until its end.
+  // The host keeps a request alive from Start until it ends.
   virtual void Begun(std::shared_ptr<RequestRelay> request) = 0;
   virtual void Ended(std::uint64_t number) = 0;
 };
 
-// Shared by all requests of a node.
+// Objects shared by all requests of a node.
 struct RelayContext {
   EventLoop* loop = nullptr;
   const RequestDialect* dialect = nullptr;
@@ -59,34 +61,35 @@
   DecisionLog* log = nullptr;
   GatewayMetrics* metrics = nullptr;
   RelayHost* host = nullptr;
-  // Policy: whether callers whose answers would be late are told to come back.
+  // True if callers whose answers would be late are asked to retry later.
   bool return_when_late = true;
 };
 
+// Not thread-safe; used only on the event loop of its context.
 class RequestRelay : public AnswerReceiver, public std::enable_shared_from_this<RequestRelay> {
  public:
   RequestRelay(const RelayContext* context, std::shared_ptr<ServerExchange> exchange,
                RequestFacts facts, std::shared_ptr<const RouteTable> routes, const Route* route,
                std::uint64_t number);
 
-  // Puts the request into the queue.
+  // Adds the request to the queue.
   void Start();
-  // Sends it to a worker when one has room. Returns whether it left the queue.
+  // Sends the request to a worker if one has room. Returns whether the request left the queue.
   bool TryDispatch(absl::Time now);
 
-  // Why no worker could take it when that was last looked at.
+  // Reason why the last choice found no worker for the request.
   ChoiceProblem problem() const { return last_problem_; }
-  // Another request that asks for the same found no worker for this reason.
+  // Records that another request with the same demand found no worker for this reason.
   void NoteProblem(ChoiceProblem problem);
-  // What is expected of a replica has changed.
+  // Called when the expected readiness of a replica has changed.
   void OnNews() {
     if (state_ == State::kWaiting) {
       SetTimer(context_->loop->Now());
     }
   }
-  // The node stops: what can't end in time gets its answer before.
+  // Called when the node begins to stop: requests that can't end in time are answered early.
   void OnStopping() { SetTimer(context_->loop->Now()); }
-  // The node is about to end: what is due is done now, also if its timer has not run yet.
+  // Called just before the node ends: performs due work even if its timer has not run yet.
   void OnStopLimit() { OnTimer(); }
 
   std::uint64_t number() const { return place_.number; }
@@ -94,7 +97,7 @@
   const ModelKey& model() const { return model_; }
   int prompt_tokens() const { return facts_.prompt_tokens; }
   bool waiting() const { return state_ == State::kWaiting; }
-  // Requests with an equal demand and no attempt yet wait for the same workers.
+  // True before the first attempt. Such requests with an equal demand wait for the same workers.
   bool first_attempt() const { return tried_.empty(); }
 
   bool OnHead(const AnswerHead& head) override;
@@ -108,19 +111,20 @@
   void Dispatch(WorkerState* worker, const WorkerDemand& demand, absl::Time now);
   void SetTimer(absl::Time now);
   void OnTimer();
-  // The caller's, the route's or a stopping node's, whichever is earliest.
+  // The earliest of the caller's and the route's deadline and a stopping node's limit.
   absl::Time Deadline() const;
   absl::Time WaitLimit() const;
-  // How long the caller waits for the first event.
+  // Time for which the caller waits for the first event of a stream.
   absl::Duration Patience() const;
-  // Whether the request is better held until its model is there than told to come back then.
+  // Returns whether the request should be held until its model is ready, instead of asking the
+  // caller to retry then.
   bool MayWaitFor(absl::Time expected, absl::Time latest) const;
-  // When a silent worker is given up, and when that is looked at first.
+  // Time at which an attempt at a silent worker may be abandoned, and the first such time.
   absl::Time StallLimit() const;
   absl::Time FirstStallLimit() const;
   bool AnotherWorkerIsFree(absl::Time now) const;
   bool MayTryAnother(absl::Time now) const;
-  // The same, counting a repeat that is denied for want of budget.
+  // Like MayTryAnother; also records a retry that the budget denies.
   bool TakesAnother(absl::Time now) const;
   void LogRepeat(absl::string_view event, absl::Time now) const;
   void EndAttempt(AttemptOutcome outcome);
@@ -129,8 +133,8 @@
   void OnFailedAttempt(absl::string_view how);
   void ForwardEvents(const std::string& events);
   void SendWholeAnswer();
-  // The final answer to a request that is not served: a stream that has begun is broken off, one
-  // that may have run gets `unknown_status`, else it is refused as not run.
+  // Ends a request that is not served: a stream that has started is broken off, a request that may
+  // have been executed gets `unknown_status`, any other is refused as not executed.
   void GiveUp(int unknown_status, absl::string_view why);
   void Refuse(absl::string_view why);
   void FailUnknown(int status, absl::string_view why);
@@ -148,19 +152,19 @@
   ModelKey model_;
   QueuePlace place_;
   absl::Time arrived_;
-  // The caller's or the route's, whichever is earlier.
+  // The earlier of the caller's and the route's deadline.
   absl::Time deadline_;
   std::unique_ptr<LoopTimer> timer_;
   State state_ = State::kWaiting;
 
-  // Workers that were sent the request.
+  // Workers to which the request was sent.
   std::set<std::string> tried_;
   int attempts_ = 0;
   bool may_have_run_ = false;
   ChoiceProblem last_problem_ = ChoiceProblem::kNone;
   std::string last_failure_;
 
-  // The attempt under way.
+  // State of the attempt in flight.
   std::unique_ptr<ClientExchange> upstream_;
   std::string worker_id_;
   absl::Time attempt_started_;
@@ -172,7 +176,7 @@
   bool passing_events_ = false;
   std::string answer_body_;
   EventSplitter events_;
-  // The head of a stream has gone to the caller.
+  // True once the head of a stream was sent to the caller.
   bool stream_started_ = false;
   absl::Time first_byte_at_;
 };
--- a/include/hingespan/serving/retry_budget.h
+++ b/include/hingespan/serving/retry_budget.h
@@ -1,4 +1,4 @@
-// This node's part of the budget of repeated sends that all nodes share, by service.
+// This node's share of the retry budget of all nodes, for each service.
 #ifndef HINGESPAN_SERVING_RETRY_BUDGET_H_
 #define HINGESPAN_SERVING_RETRY_BUDGET_H_
 
@@ -16,44 +16,46 @@
 namespace hingespan::gateway {
 
 struct RetryBudgetLimits {
-  // Over any window, all nodes together may send `ratio` times the requests plus `extra` repeats.
+  // In any window, all nodes together may send `ratio` times the requests, plus `extra`, as
+  // retries.
   double ratio = 0.2;
   double extra = 10;
   absl::Duration window = absl::Seconds(10);
 };
 
-// A service's repeats at this node.
+// Retry counts of a service at this node.
 struct RetryCounts {
-  // Since the start.
+  // Totals since the start.
   std::uint64_t sent = 0;
   std::uint64_t denied = 0;
-  // May be sent now.
+  // Number of retries that may be sent now.
   double available = 0;
-  // Sent within the last window.
+  // Number of retries sent within the last window.
   int in_window = 0;
 };
 
-// A token bucket for each service. It is empty when the process starts: the one before it may have
-// used what it held. Requests earn `ratio`, and time earns a part of `extra`.
-// Pure; not thread-safe.
+// Token bucket for each service. It is empty when the process starts, as the previous process may
+// have spent its tokens. Each request earns `ratio` tokens, and time earns a share of `extra`.
+// Does no I/O; not thread-safe.
 class RetryBudget {
  public:
-  // `share`: of `extra`.
+  // `share` is this node's share of `extra`.
   RetryBudget(const RetryBudgetLimits& limits, FleetShare share, absl::Time started)
       : limits_(limits), share_(std::move(share)), started_(started) {}
 
-  // The nodes whose rows the fleet's table held, as a read begun at `asked` gave them.
+  // Sets the nodes that have a row in the fleet table, as returned by a read that was started at
+  // `read_started`.
   void SetNodes(const std::vector<std::string>& nodes, absl::Time asked, absl::Time now);
   const FleetShare& share() const { return share_; }
   void RecordRequest(const std::string& service, absl::Time now);
-  // Takes one repeat when the budget allows it.
+  // Takes the token for one retry. Returns false and counts a denial if there is none.
   bool TryTake(const std::string& service, absl::Time now);
-  // A repeat was not sent for want of budget.
+  // Counts a retry that was not sent because the budget was exhausted.
   void RecordDenied(const std::string& service);
-  // Repeats that may be sent now.
+  // Number of retries that may be sent now.
   double Available(const std::string& service, absl::Time now);
 
-  // Whether the process started less than a window ago.
+  // Returns whether the process started less than one window ago.
   bool InFirstWindow(absl::Time now) const { return now - started_ < limits_.window; }
   RetryCounts CountsOf(const std::string& service, absl::Time now);
   std::map<std::string, RetryCounts> AllCounts(absl::Time now);
@@ -67,15 +69,16 @@
     std::uint64_t denied = 0;
   };
   Counts& Pruned(const std::string& service, absl::Time now);
-  // This node's part of `extra`.
+  // This node's share of `extra`; 0 if it has none now.
   double Part(absl::Time now) const;
-  // Of the bucket.
+  // Capacity of a bucket for a node's share of `extra`.
   static double Capacity(double part);
   void Fill(Counts* counts, absl::Time now) const;
 
   RetryBudgetLimits limits_;
   FleetShare share_;
-  // As of the last table: the part, and what it is once this node has one.
+  // As of the last read of the fleet table: this node's share of `extra`, and its size once this
+  // node has a share.
   double part_ = 0;
   double expected_part_ = 0;
   absl::Time started_;
--- a/include/hingespan/serving/route_table.h
+++ b/include/hingespan/serving/route_table.h
@@ -12,23 +12,25 @@
 
 namespace hingespan::gateway {
 
-// An index over one configuration, which it keeps alive. Immutable.
+// Index over one configuration, which it keeps alive. Immutable.
 class RouteTable {
  public:
   explicit RouteTable(std::shared_ptr<const Configuration> configuration);
 
-  // `host` may carry a port; `target` is path and query. Null when no route fits.
+  // `host` may contain a port; `target` is a path with an optional query. Returns null if no route
+  // matches.
   const Route* Find(absl::string_view host, absl::string_view target) const;
   const Configuration& configuration() const { return *configuration_; }
   std::shared_ptr<const Configuration> shared_configuration() const { return configuration_; }
 
  private:
   std::shared_ptr<const Configuration> configuration_;
-  // By host, longest prefix first.
+  // Routes by host, longest path prefix first.
   absl::flat_hash_map<std::string, std::vector<const Route*>> routes_by_host_;
 };
 
-// The service that takes the request with this id; the parts follow the weights over many ids.
+// Returns the service for the request with this id. The choice is a function of the id; over many
+// ids the services receive requests in proportion to their weights.
 const std::string& ChooseService(const Route& route, absl::string_view request_id);
 
 }  // namespace hingespan::gateway
--- a/include/hingespan/serving/shared_store.h
+++ b/include/hingespan/serving/shared_store.h
@@ -1,6 +1,6 @@
-// The platform's store of rows, as the product uses it: snapshots, changes, conditional writes.
-// Implemented by the adapter of the platform. Callbacks come from the loop, never from within a
-// call.
+// Interface to the platform's store of rows: snapshots, change notifications and conditional
+// writes. Implemented by the platform adapter. Callbacks are invoked from the event loop, never
+// from within a call.
 #ifndef HINGESPAN_SERVING_SHARED_STORE_H_
 #define HINGESPAN_SERVING_SHARED_STORE_H_
 
@@ -19,13 +19,13 @@
   std::string table;
   std::string key;
   std::string value;
-  // Rises with every transaction of the store.
+  // Increases with every transaction of the store.
   std::uint64_t version = 0;
-  // Of a change: the row is gone.
+  // True for a change that removed the row.
   bool removed = false;
 };
 
-// The rows of a table, or its changes, as of `version`.
+// Rows of a table, or changes to it, as of `version`.
 struct StoreRows {
   std::vector<StoreRow> rows;
   std::uint64_t version = 0;
@@ -34,14 +34,14 @@
 struct RowCondition {
   std::string table;
   std::string key;
-  // 0: the row must not exist.
+  // Version that the row must have; 0 if the row must not exist.
   std::uint64_t version = 0;
 };
 
 struct RowWrite {
   std::string table;
   std::string key;
-  // Absent: the row is removed.
+  // New value; absent to remove the row.
   std::optional<std::string> value;
 };
 
@@ -52,11 +52,13 @@
 
   virtual ~SharedStore() = default;
   virtual void Read(const std::string& table, RowsCallback callback) = 0;
-  // Waits up to `wait` for changes after `after`. kNotFound: the history to there is gone.
+  // Waits up to `wait` for changes after version `after`. Errors: kNotFound if the store no longer
+  // has the history back to `after`.
   virtual void Watch(const std::string& table, std::uint64_t after, absl::Duration wait,
                      RowsCallback callback) = 0;
-  // All or nothing; the new version. kConflict: a condition doesn't hold. An error for which
-  // MayHaveTakenEffect holds says nothing: the write may also happen seconds later.
+  // Applies all writes or none and returns the new version. Errors: kConflict if a condition
+  // doesn't hold. After an error for which MayHaveTakenEffect holds, the outcome is unknown: the
+  // write may still take effect seconds later.
   virtual void Commit(std::vector<RowCondition> conditions, std::vector<RowWrite> writes,
                       CommitCallback callback) = 0;
 };
--- a/include/hingespan/serving/table_copy.h
+++ b/include/hingespan/serving/table_copy.h
@@ -1,4 +1,5 @@
-// One table of the shared store as a node that reads it holds it, for other nodes to read from.
+// Copy of one table of the shared store, kept by a node that reads the store, for other nodes to
+// read from.
 #ifndef HINGESPAN_SERVING_TABLE_COPY_H_
 #define HINGESPAN_SERVING_TABLE_COPY_H_
 
@@ -13,11 +14,11 @@
 
 namespace hingespan::gateway {
 
-// Pure; not thread-safe.
+// Does no I/O; not thread-safe.
 class TableCopy {
  public:
-  // Whether two values of a row mean the same, e.g. differ in a heartbeat's number only: such a
-  // change is not passed on.
+  // Returns whether two values of a row are equivalent, e.g. differ only in a heartbeat's number.
+  // Such a change is not passed on.
   using SameMeaning = std::function<bool(const StoreRow& left, const StoreRow& right)>;
 
   TableCopy(std::string table, SameMeaning same_meaning)
@@ -28,11 +29,11 @@
 
   bool known() const { return known_; }
   std::uint64_t version() const { return version_; }
-  // When the store last confirmed that nothing newer was there.
+  // Time at which the store last confirmed that the copy was up to date.
   absl::Time confirmed() const { return confirmed_; }
   StoreRows Snapshot() const;
-  // Rows that changed after a version, removed ones among them. Absent: the copy doesn't reach
-  // back.
+  // Returns the rows that changed after `version`, including removed ones; absent if the copy's
+  // history doesn't reach back to `version`.
   std::optional<StoreRows> ChangesAfter(std::uint64_t version) const;
   bool HasChangesAfter(std::uint64_t version) const { return newest_change_ > version; }
 
@@ -41,12 +42,12 @@
 
   std::string table_;
   SameMeaning same_meaning_;
-  // Removed rows stay, so that their removal can be told.
+  // Includes removed rows, so that their removal can be reported.
   std::map<std::string, StoreRow> rows_;
   bool known_ = false;
   std::uint64_t version_ = 0;
   std::uint64_t newest_change_ = 0;
-  // Of the first snapshot: removals before it are not known.
+  // Version of the first snapshot; earlier removals are not known.
   std::uint64_t first_version_ = 0;
   absl::Time confirmed_ = absl::InfinitePast();
 };
--- a/include/hingespan/serving/table_follower.h
+++ b/include/hingespan/serving/table_follower.h
@@ -1,4 +1,4 @@
-// Keeps up with one table of the shared store: a snapshot, then changes as they come, for ever.
+// Follows one table of the shared store: reads a snapshot, then watches for changes indefinitely.
 #ifndef HINGESPAN_SERVING_TABLE_FOLLOWER_H_
 #define HINGESPAN_SERVING_TABLE_FOLLOWER_H_
 
@@ -15,23 +15,23 @@
 
 struct TableFollowerSettings {
   std::string table;
-  // How long one question for changes waits.
+  // Time for which one watch call waits for changes.
   absl::Duration wait = absl::Seconds(2.5);
-  // Between an answer with changes and the next question: changes that come close together then
-  // cost one call.
+  // Delay between an answer with changes and the next watch call, so that changes in quick
+  // succession cost one call.
   absl::Duration pause = absl::ZeroDuration();
   absl::Duration first_retry = absl::Milliseconds(100);
   absl::Duration longest_retry = absl::Milliseconds(500);
 };
 
-// Not thread-safe; lives on its loop.
+// Not thread-safe; used only on its event loop.
 class TableFollower {
  public:
   struct Callbacks {
-    // All rows of the table as of a version.
+    // Called with all rows of the table as of a version.
     std::function<void(const StoreRows&)> on_snapshot;
     std::function<void(const StoreRows&)> on_changes;
-    // The store answers, or stopped answering.
+    // Called when the store begins or stops answering.
     std::function<void(bool in_touch)> on_contact;
   };
 
@@ -39,7 +39,7 @@
                 std::uint64_t seed, Callbacks callbacks);
   ~TableFollower();
   void Start();
-  // Takes a snapshot again instead of going on with changes.
+  // Reads a new snapshot instead of continuing with changes.
   void Resynchronize() { version_known_ = false; }
   bool in_touch() const { return in_touch_; }
 
@@ -56,7 +56,7 @@
   Random random_;
   Callbacks callbacks_;
   std::unique_ptr<LoopTimer> timer_;
-  // Callbacks of the store may come after this object's end.
+  // Lets callbacks of the store detect that this object was destroyed.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   std::uint64_t version_ = 0;
   bool version_known_ = false;
--- a/include/hingespan/serving/worker_control.h
+++ b/include/hingespan/serving/worker_control.h
@@ -1,4 +1,4 @@
-// Orders to workers and their reports. Implemented by the adapter of the platform.
+// Sends orders to workers and reads their reports. Implemented by the platform adapter.
 #ifndef HINGESPAN_SERVING_WORKER_CONTROL_H_
 #define HINGESPAN_SERVING_WORKER_CONTROL_H_
 
@@ -20,33 +20,34 @@
   std::string address;
   OrderKind kind = OrderKind::kLoad;
   std::string model;
-  // Empty: the model itself.
+  // Empty for the base model.
   std::string adapter;
-  // The worker refuses the order when it has taken another number of orders by then.
+  // Number of orders that the worker must have accepted so far; otherwise it refuses this order.
   std::uint64_t expected_sequence = 0;
-  // Name of the node that orders, and the fencing token that its lease gave it.
+  // Name of the ordering node and the fencing token of its lease.
   std::string holder;
   std::uint64_t token = 0;
 };
 
 enum class OrderOutcome {
-  // It is being done.
+  // The worker is carrying out the order.
   kAccepted,
-  // It already held, or was done at once.
+  // The requested state already existed or was reached at once.
   kDone,
-  // Another order is under way or the sequence differs: nothing was done.
+  // Another order is in progress or the sequence differs; nothing was done.
   kConflict,
-  // A higher fencing token was seen there: this holder's lease has ended.
+  // The worker has seen a higher fencing token, so this holder's lease has ended.
   kFenced,
-  // Refused for another reason, or not that worker: nothing was done.
+  // The order was refused for another reason or reached another worker; nothing was done.
   kRefused,
-  // No answer: it may have been taken, or be carried out later.
+  // No answer arrived; the order may have been accepted or may be carried out later.
   kUnknown,
 };
 
 struct WorkerReport {
+  // Loaded adapters by loaded model.
   std::map<std::string, std::set<std::string>> models;
-  // Adapters on their way, "model/adapter".
+  // Adapters that are being loaded, as "model/adapter".
   std::set<std::string> pending_adapters;
   bool busy = false;
   std::uint64_t order_sequence = 0;
--- a/include/hingespan/serving/worker_directory.h
+++ b/include/hingespan/serving/worker_directory.h
@@ -1,5 +1,5 @@
-// The workers as this node believes them to be: their own records, what this node runs there,
-// notices of the placement holder, and the outcomes seen here. Chooses the worker for a request.
+// This node's view of the workers: their own records, this node's attempts there, notices from the
+// lease holder and the outcomes observed here. Chooses the worker for a request.
 #ifndef HINGESPAN_SERVING_WORKER_DIRECTORY_H_
 #define HINGESPAN_SERVING_WORKER_DIRECTORY_H_
 
@@ -21,121 +21,124 @@
 // A model, or an adapter of it.
 struct ModelKey {
   std::string model;
-  // Empty: the model itself.
+  // Empty for the base model.
   std::string adapter;
   friend auto operator<=>(const ModelKey&, const ModelKey&) = default;
 };
 
-// How one attempt at a worker ended, as far as it says something about the worker.
+// Outcome of one attempt at a worker, as evidence about that worker.
 enum class AttemptOutcome {
   kServed,
-  // It answered with a failure of its own, broke off, sent spoilt bytes or kept silent.
+  // The worker answered with an error of its own, broke off, sent malformed data or stalled.
   kFailed,
-  // It refused for want of room.
+  // The worker refused because it had no room.
   kFull,
-  // No connection came about.
+  // No connection could be established.
   kUnreachable,
-  // The caller left or the time was over: it says nothing about the worker.
+  // The caller disconnected or the deadline passed; no evidence about the worker.
   kCancelled,
 };
 
-// What this node knows of one incarnation of a worker.
+// State of one incarnation of a worker, as known to this node.
 struct WorkerState {
   WorkerRecord record;
-  // Version of the row that told `record`.
+  // Version of the row from which `record` was read.
   std::uint64_t row_version = 0;
-  // Infinite future unless the worker leaves at short notice.
+  // Time at which the worker ends; InfiniteFuture unless it announced this.
   absl::Time leaves_at = absl::InfiniteFuture();
-  // Attempts of this node under way, and the prompt tokens of those that have not begun to answer.
+  // Number of this node's attempts in flight, and the prompt tokens of those without a first byte
+  // of the answer.
   int running = 0;
   double unread_tokens = 0;
-  // Of `running`, by model; none is 0.
+  // The attempts in `running`, by model; contains no zeros.
   std::map<std::string, int> running_by_model;
-  // Running attempts of the other nodes, as they last told.
+  // Attempts of the other nodes in flight and their unread prompt tokens, as last reported.
   int peers_running = 0;
   double peers_unread_tokens = 0;
-  // Share of attempts that went well, 0 to 1, weighted towards the latest.
+  // Moving average of the attempts' success, 0 to 1.
   double success = 1.0;
   absl::Time success_updated = absl::InfinitePast();
-  // Attempts that failed one after the other, up to the latest.
+  // Number of consecutive failed attempts, up to the latest.
   int failures_in_row = 0;
-  // Milliseconds to the first byte of an answer, weighted towards the latest; 0: not known.
+  // Moving average of the milliseconds to the first byte of an answer; 0 if not known.
   double latency_ms = 0;
-  // From 0, this node's own workers, to 1.
+  // This node's rank of the worker, from 0 (preferred) to 1.
   double preference = 0;
-  // Not chosen before this unless no other worker is left.
+  // The worker is not chosen before this time unless no other one is available.
   absl::Time avoided_until = absl::InfinitePast();
-  // Connections to it have failed lately.
+  // The worker counts as unreachable until this time, as a connection to it failed.
   absl::Time unreachable_until = absl::InfinitePast();
-  // Another worker has its address: it has ended, whatever its record says.
+  // True if another worker answers at its address, so that it has ended whatever its record says.
   bool ended = false;
 
-  // What was learnt about a replica apart from the record, until the record tells of it.
+  // Presence of a replica as learnt from another source than the record; valid until `until`, by
+  // when the record should show it.
   struct ReplicaNotice {
     bool present = false;
     absl::Time until;
   };
   std::map<ModelKey, ReplicaNotice> notices;
-  // When this node last sent a prompt part here, by model, adapter and part.
+  // Time at which this node last sent a prompt part to the worker, by model, adapter and part.
   absl::flat_hash_map<std::string, absl::Time> prompt_parts;
 
   bool Holds(const ModelKey& key, absl::Time now) const;
 };
 
-// What the other nodes run at a worker.
+// Load that the other nodes put on a worker.
 struct PeersLoad {
   int running = 0;
   int unread_tokens = 0;
 };
 
-// What a request asks of a worker.
+// Requirements of a request on a worker.
 struct WorkerDemand {
   std::string service;
   ModelKey model;
   const std::vector<PromptPart>* prompt_parts = nullptr;
   int prompt_tokens = 0;
   int output_tokens = 0;
-  // Not chosen again.
+  // Workers that must not be chosen.
   const std::set<std::string>* excluded = nullptr;
 };
 
 enum class ChoiceProblem { kNone, kNoWorkers, kModelAbsent, kAdapterAbsent, kAllBusy };
 
 struct WorkerChoice {
-  // Null when there is a problem.
+  // Null if there is a problem.
   WorkerState* worker = nullptr;
   ChoiceProblem problem = ChoiceProblem::kNone;
-  // Of the workers that hold the model.
+  // Number of eligible workers that hold the model, including full ones.
   int candidates = 0;
 };
 
-// What the choice of a worker weighs; false switches it off.
+// Criteria for the choice of a worker; false switches one off.
 struct ChoicePolicy {
   bool kept_prompts = true;
   bool own_zone = true;
-  // Failures seen here.
+  // Avoids workers whose attempts failed at this node.
   bool judge = true;
 };
 
-// Pure; not thread-safe.
+// Does no I/O; not thread-safe.
 class WorkerDirectory {
  public:
   WorkerDirectory(std::string node, std::string zone, ChoicePolicy policy = {})
       : policy_(policy), node_(std::move(node)), zone_(std::move(zone)) {}
 
-  // The more nodes choose at once from what they knew a moment ago, the more each prefers workers
-  // of its own, so that not all choose the same one.
+  // Sets the number of nodes. The more nodes choose concurrently from slightly outdated data, the
+  // more each prefers a different set of workers, so that they don't all choose the same one.
   void SetNodes(int nodes);
 
-  // Takes a row unless a newer one is known. Returns whether anything but the sequence changed.
+  // Applies a row unless a newer one is known. Returns whether the worker is new or its draining
+  // flag, models or address changed.
   bool Update(WorkerRecord record, std::uint64_t row_version, absl::Time now);
   bool Remove(const std::string& worker_id, std::uint64_t row_version);
-  // Removes all workers that are not among `worker_ids` and not newer than `version`.
+  // Removes all workers that are not in `worker_ids` and whose row is not newer than `version`.
   void RetainOnly(const std::set<std::string>& worker_ids, std::uint64_t version);
 
   WorkerChoice Choose(const WorkerDemand& demand, const Configuration& configuration,
                       absl::Time now);
-  // Bookkeeping of an attempt; the worker may be gone by then.
+  // Bookkeeping for an attempt; its worker may already have been removed.
   void AttemptStarted(WorkerState* worker, const WorkerDemand& demand, absl::Time now);
   void AttemptBegan(const std::string& worker_id, double unread_tokens, absl::Duration latency,
                     absl::Time now);
@@ -144,7 +147,8 @@
   void NoteReplica(const std::string& worker_id, const ModelKey& key, bool present,
                    absl::Time until);
 
-  // By worker; at those not named the other nodes run nothing. Forgotten when not told again.
+  // Sets the other nodes' loads by worker; workers that are not listed have none. The loads expire
+  // unless they are set again.
   void SetPeersLoads(const std::map<std::string, PeersLoad>& loads, absl::Time now);
 
   void MarkEnded(const std::string& worker_id);
@@ -154,9 +158,9 @@
   int CountOfService(const std::string& service) const;
 
  private:
-  // Estimated milliseconds until a request's first event, or of plain services until its answer.
+  // Estimated milliseconds until a request's first event or, for plain services, until its answer.
   double Cost(const WorkerState& worker, const WorkerDemand& demand, absl::Time now) const;
-  // Also among the departed; null: unknown.
+  // Searches the departed workers too; returns null if the worker is unknown.
   WorkerState* FindKnown(const std::string& worker_id);
   std::map<std::string, WorkerState>::iterator Erase(
       std::map<std::string, WorkerState>::iterator entry);
@@ -165,17 +169,17 @@
   ChoicePolicy policy_;
   std::string node_;
   std::string zone_;
-  // The most that this node's preference adds to a worker's cost, in milliseconds.
+  // Maximum that this node's preference adds to a worker's cost, in milliseconds.
   double preference_ms_ = 0;
   absl::Time peers_loads_until_ = absl::InfiniteFuture();
-  // By id. Ordered, so that equal costs are resolved alike in every run.
+  // Workers by id, ordered so that ties in cost are resolved the same way in every run.
   std::map<std::string, WorkerState> workers_;
-  // Workers without a row at which attempts still run. A row can come back: the store may drop it
-  // during an outage while its worker goes on.
+  // Workers without a row that still have attempts in flight. A row can reappear: the store may
+  // drop it during an outage while its worker keeps running.
   std::map<std::string, WorkerState> departed_;
 };
 
-// The key under which a part of a prompt is kept at a worker.
+// Key of a prompt part in WorkerState::prompt_parts.
 std::string PromptPartKey(const ModelKey& model, const PromptPart& part);
 
 }  // namespace hingespan::gateway
--- a/include/hingespan/serving/worker_record.h
+++ b/include/hingespan/serving/worker_record.h
@@ -1,4 +1,4 @@
-// What a worker says of itself in the shared store.
+// Record that a worker publishes about itself in the shared store.
 #ifndef HINGESPAN_SERVING_WORKER_RECORD_H_
 #define HINGESPAN_SERVING_WORKER_RECORD_H_
 
@@ -11,7 +11,7 @@
 
 namespace hingespan::gateway {
 
-// One incarnation of a worker: each start has a new id.
+// One incarnation of a worker; each start has a new id.
 struct WorkerRecord {
   std::string id;
   std::string service;
@@ -19,14 +19,15 @@
   std::string address;
   std::string zone;
   int slots = 1;
-  // It leaves: no new requests.
+  // True if the worker is leaving and must get no new requests.
   bool draining = false;
-  // It is gone so long after it said so, whatever it runs. Absent: it ends in good order.
+  // Time from the announcement until the worker ends, whatever it still runs. Absent if the worker
+  // completes its requests first.
   std::optional<absl::Duration> leaves_in;
-  // By model held, the adapters held of it.
+  // Loaded adapters by loaded model.
   std::map<std::string, std::set<std::string>> models;
-  // Models whose weights it keeps in its host's memory or on its disk: their loads are quick and
-  // don't use the weight store.
+  // Models whose weights the worker has in its host memory or on its disk; loading them is fast and
+  // doesn't use the weight store.
   std::set<std::string> copies_in_memory;
   std::set<std::string> copies_on_disk;
 
--- a/src/serving/event_splitter.cc
+++ b/src/serving/event_splitter.cc
@@ -13,7 +13,7 @@
 constexpr absl::string_view kEventEndWithReturns = "\r\n\r\n";
 constexpr absl::string_view kIdField = "id:";
 
-// Length of the part of `text` that ends with a whole event; 0: none.
+// Length of the longest prefix of `text` that ends with a complete event; 0 if there is none.
 std::size_t WholeEventsLength(absl::string_view text) {
   std::size_t length = 0;
   const std::size_t plain = text.rfind(kEventEnd);
--- a/src/serving/gateway.cc
+++ b/src/serving/gateway.cc
@@ -10,19 +10,19 @@
 namespace hingespan::gateway {
 namespace {
 
-// How long after the request to stop new requests are still taken: the platform asks twice, a
-// second apart, before it sends them elsewhere.
+// Time after the request to stop during which new requests are still accepted: the platform checks
+// readiness twice, one second apart, before it sends requests to other nodes.
 constexpr absl::Duration kTakesAfterStop = absl::Milliseconds(2500);
 constexpr absl::Duration kLeastStopTime = absl::Milliseconds(3000);
-// Before the process would be killed.
+// Time between the end of a stop and the moment at which the process would be killed.
 constexpr absl::Duration kStopMargin = absl::Milliseconds(250);
-// What still runs is answered this much before that.
+// Requests in flight are answered this long before the end of a stop.
 constexpr absl::Duration kAnswerBeforeStop = absl::Milliseconds(150);
 constexpr absl::Duration kStopCheck = absl::Milliseconds(50);
-// A waiting request is looked at again this often even if nothing is known to have changed.
+// Interval at which waiting requests are tried again even if nothing is known to have changed.
 constexpr absl::Duration kPumpAgain = absl::Milliseconds(60);
 
-// Workers write often: their changes are asked for together.
+// Workers write often; the pause lets one read return several changes.
 constexpr absl::Duration kWorkerChangesPause = absl::Milliseconds(120);
 
 std::uint64_t NewIncarnation() {
@@ -96,7 +96,7 @@
     return error;
   }
   if (!settings_.metrics_listen.empty()) {
-    // Callers are served without it.
+    // The gateway serves callers even if metrics are unavailable.
     if (const std::error_code error = metrics_.Listen(settings_.metrics_listen)) {
       parts_.log->Write(LogLevel::kWarning, "metrics_unavailable",
                         {{"address", settings_.metrics_listen}, {"error", error.message()}});
@@ -108,7 +108,7 @@
   if (const std::error_code error = requests_.Listen(settings_.request_listen)) {
     return error;
   }
-  // The same port for both, or, where the kernel chooses, one for each.
+  // Both listeners use the same port number unless the kernel chooses the ports.
   if (const std::error_code error = reading_.Listen(settings_.peer_listen)) {
     return error;
   }
@@ -262,7 +262,7 @@
     counts.arrived_tokens += request->prompt_tokens();
   }
   const absl::Time now = parts_.loop->Now();
-  // Straight to a worker when nobody waits that might come first.
+  // Dispatch at once if no other request waits that might take precedence.
   const bool nobody_waits = queue_.empty();
   queue_.Add(place, request);
   if (nobody_waits && request->TryDispatch(now)) {
@@ -289,7 +289,7 @@
 
 void Gateway::Pump() {
   const absl::Time now = parts_.loop->Now();
-  // First attempts for the same model wait for the same workers: one look tells for all.
+  // First attempts for the same model wait for the same workers, so one choice decides for all.
   std::map<std::pair<std::string, ModelKey>, ChoiceProblem> blocked;
   for (const std::shared_ptr<RequestRelay>& request : queue_.InOrder()) {
     if (!request->waiting()) {
@@ -355,7 +355,8 @@
 void Gateway::CheckStopped() {
   const absl::Time now = parts_.loop->Now();
   if (now >= StopLimit()) {
-    // After a delay this check may run ahead of timers that are due. A copy: answering removes.
+    // After a delay, this check may run before timers that are due. Iterates over a copy, as
+    // answering a request removes it.
     const auto open_requests = open_requests_;
     for (const auto& [number, request] : open_requests) {
       request->OnStopLimit();
--- a/src/serving/gateway_demand.cc
+++ b/src/serving/gateway_demand.cc
@@ -1,4 +1,4 @@
-// What the gateway tells the holder of the placement lease: what its callers ask for, what it runs.
+// The gateway's report to the lease holder: its callers' demand and its own load on the workers.
 #include <map>
 #include <memory>
 #include <string>
@@ -9,7 +9,7 @@
 namespace hingespan::gateway {
 namespace {
 
-// A caller may come back this much later than it was told.
+// Tolerance for callers that retry later than they were asked to.
 constexpr absl::Duration kReturnSlack = absl::Milliseconds(500);
 
 }  // namespace
--- a/src/serving/gateway_records.cc
+++ b/src/serving/gateway_records.cc
@@ -1,4 +1,4 @@
-// What the gateway takes from the store's rows: the configuration in force, and the workers.
+// Applies rows of the store to the gateway: the current configuration and the workers.
 #include <memory>
 #include <set>
 #include <string>
--- a/src/serving/gateway_settings.cc
+++ b/src/serving/gateway_settings.cc
@@ -14,7 +14,8 @@
 namespace hingespan::gateway {
 namespace {
 
-// One setting: how its value is checked and stored. Returns what is allowed when it is not.
+// Checks and stores the value of one setting. Returns an empty string, or the allowed values if the
+// value is not allowed.
 using Setter = std::function<std::string(const TomlValue&)>;
 
 Setter Text(std::string* target) {
@@ -93,7 +94,7 @@
   return Number(0, most, [target](double value) { *target = value; });
 }
 
-// What the system weighs when it decides: [policy] and [policy.placement].
+// Setters for the decision policies in [policy].
 std::map<std::string, Setter> PolicySetters(GatewaySettings* settings) {
   ServingPolicy& serving = settings->serving;
   PlacementPolicy& placement = settings->placement;
--- a/src/serving/request_relay.cc
+++ b/src/serving/request_relay.cc
@@ -10,36 +10,41 @@
 namespace hingespan::gateway {
 namespace {
 
-// Of a caller that doesn't say how long it waits.
+// Deadline for requests that carry none.
 constexpr absl::Duration kDefaultDeadline = absl::Seconds(30);
-// Part of a request's time for which it is held without a prospect; later refusals cost the caller
-// the chance to be served elsewhere.
+// Fraction of a request's time for which it is queued without an expected replica. A later refusal
+// would leave the caller too little time to be served elsewhere.
 constexpr double kHeldPart = 0.47;
-// What a request must have left when it is sent, so that an answer can still be in time.
+// Minimum time that a request must have left when it is sent, so that it can still be answered in
+// time.
 constexpr absl::Duration kLeastTimeForStream = absl::Milliseconds(900);
 constexpr absl::Duration kLeastTimeForPlain = absl::Milliseconds(50);
-// A worker that is silent for this part of the time left is given up where that is allowed.
+// A worker that stays silent for this fraction of the time left is abandoned if the route allows
+// it.
 constexpr double kSilentPart = 0.4;
 constexpr absl::Duration kLeastSilence = absl::Milliseconds(300);
 constexpr absl::Duration kLeastStreamSilence = absl::Milliseconds(1300);
 constexpr absl::Duration kStallCheck = absl::Milliseconds(250);
 constexpr absl::Duration kStreamGapLimit = absl::Milliseconds(1200);
-// The answer goes out this much before the deadline.
+// Requests are answered this long before their deadline.
 constexpr absl::Duration kDeadlineMargin = absl::Milliseconds(10);
-// Callers give a stream without an event up after this, or a multiple of the route's targets.
+// Callers abandon a stream without an event after this time or a multiple of the route's targets,
+// whichever is longer.
 constexpr absl::Duration kLeastPatience = absl::Seconds(2);
-// A model expected within this part of the target latency leaves time for the first event.
+// A model that is expected within this fraction of the target latency leaves enough time for the
+// first event.
 constexpr double kInTimePart = 0.85;
-// A refusal within this part of the target latency costs the caller little.
+// A refusal within this fraction of the target latency costs the caller little.
 constexpr double kPromptRefusalPart = 0.25;
-// Callers wait as they are told for at most this part of the time that they have left; less, since
-// the expectation is one.
+// Callers honour a Retry-After of up to a certain part of the time that they have left. This
+// fraction is smaller than that part, since the expected readiness is only an estimate.
 constexpr double kHonouredWaitPart = 0.3;
-// Bytes that may wait for a slow caller before the worker is not read any more.
+// Reading from the worker pauses while more bytes than this wait for a slow caller.
 constexpr std::size_t kMaxPendingBytes = 256 * 1024;
-// A request that still waits this long before its node ends is refused, so that another node may
-// try.
+// A request that still waits this long before its node's stop limit is refused, so that another
+// node can serve it.
 constexpr absl::Duration kWaitBeforeStop = absl::Seconds(1);
+
 absl::string_view ProblemName(ChoiceProblem problem) {
   switch (problem) {
     case ChoiceProblem::kNone:
@@ -68,7 +73,6 @@
       route_(route),
       service_(ChooseService(*route, facts_.id)),
       model_{facts_.model, facts_.adapter},
-
       arrived_(exchange_->received()),
       timer_(context->loop->MakeTimer()) {
   const absl::Duration time = std::min(route->timeout, facts_.deadline.value_or(kDefaultDeadline));
@@ -207,7 +211,8 @@
   if (expected <= arrived_ + route_->target_latency * kInTimePart) {
     return true;
   }
-  // It would be late: told at once to come back when the model is there, it can still be in time.
+  // The answer would be late. If the caller is asked at once to retry when the model is ready, the
+  // retry can still be in time.
   const absl::Time now = context_->loop->Now();
   const bool soon = now - arrived_ <= route_->target_latency * kPromptRefusalPart;
   const bool comes_back = expected - now <= (deadline_ - now) * kHonouredWaitPart;
@@ -313,7 +318,7 @@
     return;
   }
   if (now >= StallLimit() && !AnotherWorkerIsFree(now)) {
-    // Silence alone is no reason to end an answer: it may still come.
+    // Without another free worker the attempt continues, as the answer may still arrive.
     stall_checked_ = now;
     SetTimer(now);
     return;
--- a/src/serving/request_relay_answers.cc
+++ b/src/serving/request_relay_answers.cc
@@ -1,4 +1,4 @@
-// A request's answers: what a worker's answer means, and how the request ends.
+// Handling of workers' answers, and the end of a request.
 #include <algorithm>
 #include <utility>
 
@@ -11,12 +11,13 @@
 namespace {
 
 constexpr absl::Duration kDefaultRetryAfter = absl::Milliseconds(200);
-// A replica is certainly usable this much after it was expected.
+// Margin after which a replica is certain to be usable once it was expected to be ready.
 constexpr absl::Duration kAfterExpected = absl::Milliseconds(150);
-// Bytes that may wait for a slow caller before the worker is not read any more.
+// Reading from the worker pauses while more bytes than this wait for a slow caller.
 constexpr std::size_t kMaxPendingBytes = 256 * 1024;
-// How long a replica that a worker denied is taken for absent.
+// Time for which a replica counts as absent after its worker reported that it doesn't hold it.
 constexpr absl::Duration kDeniedReplica = absl::Milliseconds(700);
+
 std::string Milliseconds(absl::Duration duration) {
   return absl::StrCat(absl::ToInt64Milliseconds(duration));
 }
@@ -28,7 +29,7 @@
   const bool own = answer_facts_.id == facts_.id;
   const bool unnamed_refusal = answer_facts_.id.empty() && answer_facts_.not_executed;
   if (!own && !unnamed_refusal) {
-    return false;  // The answer to another request.
+    return false;  // This is the answer to another request.
   }
   const bool success = head.status / 100 == 2;
   if (success && (!answer_facts_.is_signed || answer_facts_.is_encoded)) {
@@ -83,7 +84,8 @@
       return;
     case ExchangeResult::kNotSent:
       EndAttempt(AttemptOutcome::kUnreachable);
-      // The worker has not seen it: another one may, within the budget, without counting this one.
+      // The worker has not received the request. It may go to another worker within the retry
+      // budget, and this worker doesn't count towards the route's limit of attempts.
       tried_.erase(worker_id_);
       last_failure_ = "unreachable";
       BeginWaiting();
@@ -186,7 +188,7 @@
 
 void RequestRelay::GiveUp(int unknown_status, absl::string_view why) {
   if (stream_started_) {
-    // Its head has gone out: no other answer may follow.
+    // The head of the answer was already sent, so no other answer may follow.
     AbortStream(why);
   } else if (may_have_run_) {
     FailUnknown(unknown_status, why);
--- a/src/serving/retry_budget.cc
+++ b/src/serving/retry_budget.cc
@@ -5,8 +5,8 @@
 namespace hingespan::gateway {
 namespace {
 
-// Repeats and requests are counted here a little before or after the users count them; this part of
-// the budget is used, the rest is left for that.
+// Fraction of the budget that is used. The rest is a margin, as retries and requests are counted
+// here slightly earlier or later than by the users.
 constexpr double kUsedPart = 0.9;
 
 void DropBefore(std::deque<absl::Time>* times, absl::Time begin) {
@@ -22,9 +22,9 @@
   return divisor == 0 ? 0 : kUsedPart * limits_.extra / divisor;
 }
 
-// Within a window a node sends at most what its bucket holds at the window's begin and what it
-// earns within the window. The part is divided between the two: half each, but the bucket holds a
-// whole repeat where the part has one.
+// Within a window, a node can send at most the tokens in its bucket at the start of the window plus
+// those earned within the window. The node's share is divided equally between the two, except that
+// the bucket holds one whole retry if the share does.
 double RetryBudget::Capacity(double part) { return std::min(part, std::max(1.0, part / 2)); }
 
 void RetryBudget::Fill(Counts* counts, absl::Time now) const {
--- a/src/serving/table_follower.cc
+++ b/src/serving/table_follower.cc
@@ -42,7 +42,7 @@
     if (!*alive) {
       return;
     }
-    // A snapshot older than what is known already would take things back.
+    // A snapshot older than the known version would revert changes.
     if (!result.ok() || result->version < version_) {
       Retry();
       return;
@@ -57,7 +57,8 @@
 }
 
 void TableFollower::WatchOn() {
-  // A question that waits is lost with an outage; short ones show the store's return.
+  // A waiting call is lost when the store fails. While the store doesn't answer, calls return at
+  // once, so that its recovery is noticed.
   const absl::Duration wait = in_touch_ ? settings_.wait : absl::ZeroDuration();
   store_->Watch(settings_.table, version_, wait, [this, alive = alive_](Result<StoreRows> result) {
     if (!*alive) {
--- a/src/serving/worker_directory.cc
+++ b/src/serving/worker_directory.cc
@@ -12,33 +12,33 @@
 namespace hingespan::gateway {
 namespace {
 
-// Prompt tokens an engine reads in a millisecond. Workers don't tell it; only the proportion to the
-// other costs matters.
+// Prompt tokens that an engine processes per millisecond. Workers don't report this; only the ratio
+// to the other costs matters.
 constexpr double kPromptTokensPerMs = 18.0;
-// What one running request adds to the wait for the first event.
+// Time that each running request adds to the wait for the first event.
 constexpr double kRunningCostMs = 4.0;
-// What a worker in another zone costs more, in the way and in priced bytes.
+// Additional cost of a worker in another zone, for network latency and priced traffic.
 constexpr double kOtherZoneCostMs = 12.0;
 constexpr double kPreferenceMsEachNode = 1.0;
 constexpr double kMostPreferenceMs = 60.0;
 constexpr double kPlainServiceMs = 30.0;
 constexpr double kSuccessWeight = 0.12;
 constexpr double kLatencyWeight = 0.15;
-// A worker's bad record is forgotten by half in this time, so that it is tried again.
+// Half-life of a worker's failures, after which it is tried again.
 constexpr absl::Duration kSuccessHalfLife = absl::Seconds(6);
 constexpr double kLeastSuccess = 0.08;
 constexpr absl::Duration kAvoidUnreachable = absl::Milliseconds(1000);
 constexpr absl::Duration kAvoidFull = absl::Milliseconds(60);
 constexpr absl::Duration kAvoidFailed = absl::Milliseconds(40);
-// Doubles with each further failure in a row, up to this.
+// The avoidance time doubles with each consecutive failure, up to this limit.
 constexpr absl::Duration kAvoidLongest = absl::Seconds(4);
 constexpr int kMostDoublings = 7;
-// Longer than a takeover of the placement lease, during which nobody tells of loads.
+// Longer than a takeover of the placement lease, during which no node reports loads.
 constexpr absl::Duration kPeersLoadsLifetime = absl::Seconds(10);
-// Kept prompts are assumed to be there for this long.
+// Time for which a worker is assumed to keep a prompt part cached.
 constexpr absl::Duration kPromptPartMemory = absl::Seconds(20);
 constexpr std::size_t kMaxPromptParts = 2000;
-// The part of a worker's token memory that is filled.
+// Fraction of a worker's token capacity that is used.
 constexpr double kTokenCapacityUsed = 0.9;
 
 double RecoveredSuccess(const WorkerState& worker, absl::Time now) {
--- a/tests/serving/decision_log_end_test.cc
+++ b/tests/serving/decision_log_end_test.cc
@@ -1,4 +1,4 @@
-// The log of a process that ends.
+// Tests of flushing the decision log before a process exits.
 #include <doctest/doctest.h>
 #include <fcntl.h>
 #include <unistd.h>
@@ -27,7 +27,7 @@
 struct LogPipe {
   LogPipe() {
     REQUIRE(pipe(ends) == 0);
-    // The least that the kernel gives: a page.
+    // The kernel rounds this up to its minimum, one page.
     REQUIRE(fcntl(ends[1], F_SETPIPE_SZ, 1) > 0);
   }
   ~LogPipe() {
@@ -37,7 +37,7 @@
   int ends[2];
 };
 
-// More than the pipe takes while nobody reads.
+// Writes more than fits into the pipe while nobody reads.
 void WriteMany(DecisionLog* log) {
   for (int line = 0; line < 1000; ++line) {
     log->Write(LogLevel::kInfo, "request", {{"line", std::to_string(line)}});
@@ -45,8 +45,8 @@
   log->Write(LogLevel::kInfo, "stopped", {});
 }
 
-// Guards against: the last lines of a process that ends are lost, since its reader is behind.
-TEST_CASE("a process that ends waits for the reader of its log") {
+// Guards against losing the last lines of a process that exits while its reader lags behind.
+TEST_CASE("a process that exits waits for the reader of its log") {
   LogPipe log_pipe;
   DecisionLog log(log_pipe.ends[1], &SystemClock(), {1e6, 1e6, 1 << 20});
   WriteMany(&log);
@@ -60,12 +60,12 @@
   CHECK(text.find("\"stopped\"") != std::string::npos);
 }
 
-TEST_CASE("a reader that reads no more does not keep the process from ending") {
+TEST_CASE("a reader that has stopped reading does not keep the process from exiting") {
   LogPipe log_pipe;
   DecisionLog log(log_pipe.ends[1], &SystemClock(), {1e6, 1e6, 1 << 20});
   WriteMany(&log);
-  SUBCASE("it is there") {}
-  SUBCASE("it has gone") {
+  SUBCASE("the reader has the pipe open") {}
+  SUBCASE("the reader has closed the pipe") {
     signal(SIGPIPE, SIG_IGN);
     close(log_pipe.ends[0]);
     log_pipe.ends[0] = -1;
--- a/tests/serving/gateway_test.cc
+++ b/tests/serving/gateway_test.cc
@@ -60,7 +60,8 @@
   CHECK(deadline <= 2000);
 }
 
-TEST_CASE("no route is 404, a body beyond the limit 413, a head beyond it 431, noise 400") {
+TEST_CASE(
+    "no route is 404, a body beyond the limit 413, a head beyond it 431, malformed data 400") {
   GatewayWorld world;
   world.AddPlainWorker("w1");
   TestNode* const node = world.AddNode("n1");
@@ -80,7 +81,7 @@
   CHECK(world.workers.front()->runs().empty());
 }
 
-TEST_CASE("a request framed in two ways at once is refused and reaches nobody") {
+TEST_CASE("a request with two body lengths is refused and reaches no worker") {
   GatewayWorld world;
   world.AddPlainWorker("w1");
   TestNode* const node = world.AddNode("n1");
@@ -119,7 +120,7 @@
     world.AddPlainWorker("w1")->SetFault(fault);
     world.AddPlainWorker("w2")->SetFault(fault);
     world.AddPlainWorker("w3");
-    // Enough requests that some begin at a faulty worker.
+    // Send enough requests for some to reach a faulty worker first.
     int served = 0;
     int repeated = 0;
     for (int number = 0; number < 6; ++number) {
@@ -136,7 +137,7 @@
   }
 }
 
-TEST_CASE("a request that may run once is never sent again once it may have run") {
+TEST_CASE("a non-idempotent request is never sent again once it may have been executed") {
   for (const WorkerFault fault : {WorkerFault::kFails, WorkerFault::kLosesAnswer,
                                   WorkerFault::kOtherRequest, WorkerFault::kSilent}) {
     CAPTURE(static_cast<int>(fault));
@@ -148,14 +149,14 @@
     request.deadline_ms = 300;
     const auto call = world.Ask(node, request);
     CHECK(world.workers[0]->runs().size() + world.workers[1]->runs().size() == 1);
-    // Neither 503 nor any other status that promises that it has not run.
+    // The status is neither 503 nor another one that guarantees that the request was not executed.
     const bool promises_nothing =
         call->head.status == 500 || call->head.status == 502 || call->head.status == 504;
     CHECK(promises_nothing);
   }
 }
 
-TEST_CASE("a request that a worker refused is refused with 503 and a time to come back") {
+TEST_CASE("a request that a worker refused is refused with 503 and a Retry-After") {
   GatewayWorld world;
   world.AddPlainWorker("w1")->SetFault(WorkerFault::kSheds);
   TestNode* const node = world.AddNode("n1");
@@ -174,7 +175,7 @@
   CHECK(call->body == Events(1, 6));
 }
 
-TEST_CASE("a resumable stream goes on at another worker with the head of the first") {
+TEST_CASE("a resumable stream continues at another worker with the head of the first") {
   GatewayWorld world;
   TestNode* const node = world.AddNode("n1");
   world.EarnRepeats(node, StreamRequest("/stream/x", "m1"));
@@ -190,7 +191,7 @@
   CHECK(world.workers[1]->runs().front().last_event_id == "3");
 }
 
-TEST_CASE("a worker's silence does not end a stream that could go on nowhere else") {
+TEST_CASE("a silent worker's stream is kept if no other worker could continue it") {
   GatewayWorld world;
   emulator::PlatformWorkerOptions options;
   options.id = "w1";
@@ -208,7 +209,7 @@
   CHECK(world.workers[0]->runs().size() == 1);
 }
 
-TEST_CASE("a stream that breaks off and may not go on does not look complete") {
+TEST_CASE("a stream that breaks off and may not be resumed does not look complete") {
   GatewayWorld world;
   world.AddModelWorker("w1", "m1")->SetFault(WorkerFault::kBreaksStream);
   world.AddModelWorker("w2", "m1")->SetFault(WorkerFault::kBreaksStream);
@@ -218,7 +219,7 @@
   CHECK(call->body == Events(1, 3));
 }
 
-TEST_CASE("a stream that has begun gets no other answer when the budget of repeats is used up") {
+TEST_CASE("a stream that has started gets no second answer when the retry budget is exhausted") {
   GatewayWorld world;
   emulator::PlatformWorkerOptions options;
   options.id = "w1";
@@ -227,7 +228,7 @@
   options.slots = 40;
   world.AddWorker(options)->SetFault(WorkerFault::kBreaksStream);
   TestNode* const node = world.AddNode("n1");
-  // More than the budget bears: ten, and a fifth of them.
+  // More streams than the budget allows retries: ten, plus a fifth of the streams.
   constexpr int kStreams = 16;
   std::vector<decltype(world.Send(node, TestRequest{}))> calls;
   for (int number = 0; number < kStreams; ++number) {
@@ -235,7 +236,7 @@
     request.id = absl::StrCat("r", number);
     calls.push_back(world.Send(node, request));
   }
-  // All have broken off and wait for another worker.
+  // Wait until all streams have broken off and wait for another worker.
   REQUIRE(world.Wait([&] {
     const std::vector<std::string> lines = node->LogLines();
     return std::count_if(lines.begin(), lines.end(), [](const std::string& line) {
@@ -256,12 +257,12 @@
   }
   CHECK(broken > 0);
   CHECK(broken < kStreams);
-  // Each was broken off; none got a second answer inside its first.
+  // Streams without a retry were broken off; none got a second answer inside its first.
   CHECK(node->metrics.streams_broken == broken);
   CHECK(node->metrics.requests_by_status[502] == 0);
 }
 
-TEST_CASE("a body that came encoded is never passed on as the worker's") {
+TEST_CASE("an encoded body is never forwarded as the worker's answer") {
   GatewayWorld world;
   world.AddPlainWorker("w1")->SetFault(WorkerFault::kEncodes);
   TestNode* const node = world.AddNode("n1");
@@ -279,7 +280,7 @@
                                     RequestText("GET", "/metrics", "h", {}, ""), &call);
   REQUIRE(world.Wait([&] { return call.ended; }));
   CHECK(call.body.find("hingespan_requests_waiting") != std::string::npos);
-  // The address is taken.
+  // The metrics address of the second node is already in use.
   TestNode* const other = world.AddNode("n2", node->gateway.metrics_address());
   CHECK(world.Ask(other, TestRequest{})->head.status == 200);
 }
@@ -295,7 +296,7 @@
   CHECK(world.Wait([&] { return worker->runs().front().caller_left; }));
 }
 
-TEST_CASE("a request that runs gets its final answer at the route's limit") {
+TEST_CASE("a running request gets its final answer at the route's timeout") {
   GatewayWorld world;
   world.PutConfiguration(2, 200);
   world.AddPlainWorker("w1")->SetFault(WorkerFault::kSilent);
@@ -311,14 +312,14 @@
   TestNode* const node = world.AddNode("n1");
   const auto call = world.Ask(node, StreamRequest("/stream/x", "m2"));
   CHECK(call->body == Events(1, 6));
-  // m1 and m2 do not fit together.
+  // The worker has no memory for both m1 and m2.
   CHECK(!world.workers[0]->Holds("m1"));
   for (const auto& order : world.workers[0]->orders()) {
     CHECK(order.token > 0);
   }
 }
 
-TEST_CASE("a caller that won't wait for a cold model is told at once when to come back") {
+TEST_CASE("a caller that won't wait for a cold model is told at once when to retry") {
   GatewayWorld world;
   world.PutConfiguration(2, 20000, 4.0);
   emulator::PlatformWorkerOptions options;
@@ -332,7 +333,8 @@
   const absl::Time began = world.loop.Now();
   const auto call = world.Ask(node, request);
   CHECK(call->head.status == 503);
-  // Held neither for the two seconds that the caller has patience, nor for half of its time.
+  // The request is held neither for two seconds, the time that callers wait for a first event, nor
+  // for half of its deadline.
   CHECK(world.loop.Now() - began < absl::Seconds(2));
   double seconds = 0;
   REQUIRE(absl::SimpleAtod(FieldOf(*call, "Retry-After"), &seconds));
@@ -340,7 +342,7 @@
   CHECK(seconds < 5.0);
 }
 
-TEST_CASE("callers that wait for the same cold model are told alike, not the first one alone") {
+TEST_CASE("all callers that wait for the same cold model are told, not only the first one") {
   GatewayWorld world;
   world.PutConfiguration(2, 20000, 4.0);
   emulator::PlatformWorkerOptions options;
@@ -363,9 +365,9 @@
   CHECK(node->metrics.refusals["model_absent"] == kCallers);
 }
 
-TEST_CASE("a caller whose answer would be late is told to come back, and is served then") {
+TEST_CASE("a caller whose answer would be late is asked to retry, and is served then") {
   GatewayWorld world;
-  // A load takes longer than the target, and less than the caller's patience.
+  // A load takes longer than the target latency, but less than callers wait for a first event.
   world.PutConfiguration(2, 20000, 1.0, 400);
   emulator::PlatformWorkerOptions options;
   options.id = "w1";
@@ -381,7 +383,7 @@
   REQUIRE(absl::SimpleAtod(FieldOf(*call, "Retry-After"), &seconds));
   CHECK(seconds > 0.9);
   CHECK(seconds < 2.0);
-  // Nobody waits at the node, but somebody will come back: the model is loaded all the same.
+  // No request waits at the node, but the model is loaded, as a caller is expected to retry.
   REQUIRE(world.Wait([&] { return world.workers[0]->Holds("m2"); }));
   request.id = "r2";
   CHECK(world.Ask(node, request)->head.status == 200);
@@ -395,7 +397,7 @@
   CHECK(call->body == Events(1, 6));
 }
 
-TEST_CASE("of several nodes one orders, and the others' demand reaches it") {
+TEST_CASE("only one of several nodes sends orders, and the others report their demand to it") {
   GatewayWorld world;
   world.AddModelWorker("w1", "m1");
   world.AddNode("n1");
@@ -412,7 +414,7 @@
   CHECK(tokens.size() == 1);
 }
 
-TEST_CASE("a holder whose token was passed at a worker stops ordering with it") {
+TEST_CASE("a lease holder stops using its fencing token once a worker has seen a higher one") {
   GatewayWorld world;
   auto* const worker = world.AddModelWorker("w1", "m1");
   TestNode* const node = world.AddNode("n1");
@@ -424,14 +426,15 @@
   const auto refused = std::count_if(worker->orders().begin(), worker->orders().end(),
                                      [](const auto& order) { return order.status == 412; });
   CHECK(refused >= 1);
-  // Each refusal ends the lease; it is acquired anew with a higher token before the next order.
+  // Each refusal ends the lease. The node acquires it again, with a higher token, before the next
+  // order.
   std::set<std::uint64_t> tokens;
   for (const auto& order : worker->orders()) {
     CHECK(tokens.insert(order.token).second);
   }
 }
 
-TEST_CASE("a new configuration is in force and an older one never returns") {
+TEST_CASE("a new configuration is applied and an older one is never restored") {
   GatewayWorld world;
   world.AddPlainWorker("w1");
   TestNode* const node = world.AddNode("n1");
@@ -443,7 +446,7 @@
   REQUIRE(world.Wait([&] { return node->metrics.configuration_version == 8; }));
 }
 
-TEST_CASE("changes arrive after the store forgot its history") {
+TEST_CASE("changes arrive after the store has compacted its history") {
   GatewayWorld world;
   world.AddPlainWorker("w1");
   TestNode* const node = world.AddNode("n1");
@@ -460,7 +463,8 @@
   leaving->SetDraining();
   world.PutConfiguration(2);
   REQUIRE(world.Wait([&] { return node->metrics.configuration_version == 2; }));
-  // The worker's row was written before the configuration, on another table: wait for it as well.
+  // The worker's row was written before the configuration but to another table, so it may arrive
+  // later: at most one request may still reach the worker.
   for (int number = 0; number < 20; ++number) {
     TestRequest request;
     request.id = absl::StrCat("r", number);
@@ -469,7 +473,7 @@
   CHECK(leaving->runs().size() <= 1);
 }
 
-TEST_CASE("a node that stops ends what runs and answers what still waits") {
+TEST_CASE("a stopping node ends running requests and answers waiting ones") {
   GatewayWorld world;
   world.AddPlainWorker("w1")->SetFault(WorkerFault::kSilent);
   TestNode* const node = world.AddNode("n1");
@@ -477,7 +481,7 @@
   request.deadline_ms = 30000;
   const auto running = world.Send(node, request);
   REQUIRE(world.Wait([&] { return !world.workers[0]->runs().empty(); }));
-  // No worker holds models: it waits.
+  // This request waits, as no worker holds models.
   const auto waiting = world.Send(node, StreamRequest("/once/x", "m1"));
   std::map<int, std::uint64_t> answered;
   node->gateway.Stop([&] {
@@ -485,7 +489,7 @@
     answered = node->metrics.requests_by_status;
   });
   REQUIRE(world.Wait([&] { return node->stopped; }));
-  // The process ends now: nothing may be without its answer.
+  // The process would exit now, so every request must have been answered.
   CHECK(answered[503] == 1);
   CHECK(answered[504] == 1);
   REQUIRE(world.Wait([&] { return running->ended && waiting->ended; }));
@@ -495,8 +499,9 @@
   CHECK(waiting->head.status == 503);
 }
 
-// Tells an answer lost with the process from one that was sent and cut on its way.
-TEST_CASE("the lines of a stop say why it ended and what had not left by then") {
+// The stop's log lines distinguish an answer lost with the process from one that was sent and cut
+// off on its way to the caller.
+TEST_CASE("the log lines of a stop say why it ended and what was unsent by then") {
   GatewayWorld world;
   world.AddPlainWorker("w1")->SetFault(WorkerFault::kSilent);
   TestNode* const node = world.AddNode("n1");
--- a/tests/serving/gateway_world.cc
+++ b/tests/serving/gateway_world.cc
@@ -137,9 +137,9 @@
   TestNode* const node = nodes.back().get();
   REQUIRE(!node->gateway.Start());
   REQUIRE(Wait([&] { return node->gateway.ready(); }));
-  // Some node orders loads from now on.
+  // Wait until some node holds the placement lease and can order loads.
   REQUIRE(Wait([&] { return !store.Value("hingespan", "lease/placement").empty(); }));
-  // Requests earn repeats from now on.
+  // Wait until requests earn retries.
   REQUIRE(Wait([&] { return node->gateway.fleet_size() > 0; }));
   return node;
 }
--- a/tests/serving/gateway_world.h
+++ b/tests/serving/gateway_world.h
@@ -1,4 +1,5 @@
-// Gateways, a stand-in store and stand-in workers on one event loop, over the loopback interface.
+// Test fixture: gateways, an emulated store and emulated workers on one event loop, connected over
+// the loopback interface.
 #ifndef TESTS_SERVING_GATEWAY_WORLD_H_
 #define TESTS_SERVING_GATEWAY_WORLD_H_
 
@@ -20,7 +21,7 @@
 
 namespace hingespan::gateway {
 
-// What a caller got.
+// Records the answer that a caller received.
 class TestCall : public AnswerReceiver {
  public:
   bool OnHead(const AnswerHead& answer_head) override {
@@ -42,13 +43,13 @@
 
 inline constexpr absl::Duration kTestStopTime = absl::Milliseconds(1500);
 
-// One node with all its parts.
+// One gateway node with all its components.
 struct TestNode {
   TestNode(EventLoop* loop, const std::string& name, const std::string& store_address,
            const std::string& metrics_address = "", absl::Duration stop_time = kTestStopTime);
 
   ~TestNode();
-  // The lines logged so far.
+  // Returns the lines logged so far.
   std::vector<std::string> LogLines() const;
 
   GatewayMetrics metrics;
@@ -69,10 +70,11 @@
   std::string id = "r1";
   std::string body;
   int deadline_ms = 2000;
-  // Further fields.
+  // Additional header fields.
   HeaderFields fields;
 };
 
+// Not thread-safe. Starts with version 1 of the configuration, without workers or nodes.
 class GatewayWorld {
  public:
   GatewayWorld();
@@ -80,20 +82,19 @@
   emulator::PlatformWorker* AddWorker(emulator::PlatformWorkerOptions options);
   emulator::PlatformWorker* AddPlainWorker(const std::string& id);
   emulator::PlatformWorker* AddModelWorker(const std::string& id, const std::string& model);
-  // Started and ready.
+  // Starts a node and waits until it is ready.
   TestNode* AddNode(const std::string& name, const std::string& metrics_address = "");
   // Routes "/plain/" (not repeatable), "/safe/" (repeatable), "/stream/" (resumable stream) and
   // "/once/" (stream that is not resumable) of host "h".
-  // `load_seconds` is what the configuration says of a load.
-  // The target leaves time for room to be made and a load of `load_seconds`.
+  // `load_seconds` is the configured load time of a model. The default target latency leaves time
+  // for an unload and a load of that length.
   void PutConfiguration(int version, int timeout_ms = 5000, double load_seconds = 0.03,
                         int target_ms = 800);
 
   std::unique_ptr<TestCall> Send(TestNode* node, const TestRequest& request);
-  // Sends and waits for the end.
+  // Sends a request and waits until its answer ends.
   std::unique_ptr<TestCall> Ask(TestNode* node, const TestRequest& request);
-  // Sends so many of these requests that as many repeats as possible may be sent; there are no
-  // workers yet.
+  // Sends enough of these requests to fill the retry budget. Call it before any worker exists.
   void EarnRepeats(TestNode* node, TestRequest request);
   bool Wait(const std::function<bool()>& done);
 
--- a/tests/serving/parts_test.cc
+++ b/tests/serving/parts_test.cc
@@ -1,4 +1,5 @@
-// Routes, budget, events, settings, log: the small parts of the gateway.
+// Tests of the gateway's small components: routes, event splitter, settings, log, metrics and
+// worker directory.
 #include <doctest/doctest.h>
 #include <fcntl.h>
 #include <rapidcheck.h>
@@ -42,7 +43,9 @@
   CHECK(routes.Find("nobody", "/a/") == nullptr);
 }
 
-TEST_CASE("the parts of a split take their weights' shares, and one id always the same part") {
+TEST_CASE(
+    "services receive requests in proportion to their weights, and one id always the same "
+    "service") {
   Route route = RouteOf("h", "/");
   route.services = {{"s1", 90}, {"s2", 10}};
   std::map<std::string, int> counts;
@@ -55,7 +58,7 @@
   CHECK(counts["s2"] < 600);
 }
 
-TEST_CASE("only whole events leave the splitter, whatever the cut") {
+TEST_CASE("the splitter returns only complete events, however the stream is divided") {
   const std::string stream = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata";
   for (std::size_t piece = 1; piece < stream.size(); ++piece) {
     EventSplitter splitter;
@@ -92,7 +95,7 @@
   CHECK(settings.lease == absl::Milliseconds(2500));
   ReadGatewaySettings("[node]\nname = 3\nzone = \"z\"\n[listen]\nrequests = \"x\"\n", "f",
                       &findings);
-  // Two values that are not allowed, with their lines, and three that are missing.
+  // Expect two values that are not allowed, with their lines, and three missing keys.
   REQUIRE(findings.size() == 5);
   CHECK(findings[0].key == "node.name");
   CHECK(findings[0].place.line == 2);
@@ -107,8 +110,7 @@
   absl::Time now = At(0);
 };
 
-TEST_CASE(
-    "the log never blocks on its reader and bounds each event's rate, counting what it left out") {
+TEST_CASE("the log never blocks on its reader, limits each event's rate and counts dropped lines") {
   int ends[2];
   REQUIRE(pipe(ends) == 0);
   FixedClock clock;
@@ -123,7 +125,8 @@
   std::string text(64 * 1024, ' ');
   text.resize(static_cast<std::size_t>(read(ends[0], text.data(), text.size())));
   CHECK(text.find("\"left_out_before\":80") != std::string::npos);
-  // Nobody reads: the pipe fills, then the buffer, and each further line returns at once.
+  // While nobody reads, the pipe fills up, then the buffer; further lines are dropped without
+  // blocking.
   for (int line = 0; line < 20000; ++line) {
     clock.now += absl::Seconds(1);
     log.Write(LogLevel::kInfo, "e", {{"line", absl::StrCat(line)}});
@@ -147,7 +150,7 @@
   CHECK(text.find("hingespan_first_byte_seconds_count 1") != std::string::npos);
 }
 
-TEST_CASE("metrics: a service's repeats, and what its budget is divided by") {
+TEST_CASE("metrics: a service's retries and the divisor of the budget") {
   RetryBudget budget({0.2, 10, absl::Seconds(10)}, FleetShare("n1"), At(0));
   budget.SetNodes({"n1", "n2"}, At(0), At(0));
   budget.SetNodes({"n1", "n2"}, At(15), At(15));
@@ -185,7 +188,7 @@
   return configuration;
 }
 
-TEST_CASE("workers: an older row takes nothing back, a gone one is forgotten") {
+TEST_CASE("workers: an older row is ignored, a removed one is forgotten") {
   WorkerDirectory workers("n", "z");
   workers.Update(RecordOf("w1", "m1"), 5, At(0));
   CHECK(!workers.Update(RecordOf("w1", "m2"), 4, At(0)));
@@ -195,7 +198,7 @@
   CHECK(workers.Find("w1") == nullptr);
 }
 
-TEST_CASE("workers: a choice says what is missing") {
+TEST_CASE("workers: a failed choice reports what is missing") {
   const Configuration configuration = PlainConfiguration();
   WorkerDirectory workers("n", "z");
   WorkerDemand demand;
@@ -213,7 +216,7 @@
   CHECK(workers.Choose(demand, configuration, At(1)).problem == ChoiceProblem::kNoWorkers);
 }
 
-TEST_CASE("workers: one that fails is chosen less, and again after a while") {
+TEST_CASE("workers: a failing one is avoided and chosen again after a while") {
   const Configuration configuration = PlainConfiguration();
   WorkerDirectory workers("n", "z");
   workers.Update(RecordOf("w1", ""), 1, At(0));
@@ -226,12 +229,12 @@
     workers.AttemptEnded("w1", "", 0, AttemptOutcome::kFailed, At(0));
   }
   workers.AttemptStarted(workers.Find("w2"), demand, At(0));
-  // w2 has a request and yet is preferred.
+  // w2 is preferred although it already runs a request.
   CHECK(workers.Choose(demand, configuration, At(1)).worker->record.id == "w2");
   CHECK(workers.Choose(demand, configuration, At(60)).worker->record.id == "w1");
 }
 
-TEST_CASE("workers: one that only fails is tried ever more rarely, however near it is") {
+TEST_CASE("workers: one that only fails is tried ever more rarely, even in the node's own zone") {
   const Configuration configuration = PlainConfiguration();
   WorkerDirectory workers("n", "z");
   workers.Update(RecordOf("w1", ""), 1, At(0));
@@ -240,7 +243,7 @@
   workers.Update(far, 2, At(0));
   WorkerDemand demand;
   demand.service = "s";
-  // Both are fast, so that the way to the other zone costs more than one failure.
+  // Both workers are fast, so that the cost of the other zone exceeds the cost of one failure.
   for (const char* const id : {"w1", "w2"}) {
     workers.AttemptStarted(workers.Find(id), demand, At(0));
     workers.AttemptBegan(id, 0, absl::Milliseconds(1), At(0));
@@ -258,13 +261,13 @@
                          near ? AttemptOutcome::kFailed : AttemptOutcome::kServed, now);
   }
   CHECK(failed < kChoices / 50);
-  // Once it serves, it is chosen again.
+  // A served request makes the worker eligible again.
   workers.AttemptStarted(workers.Find("w1"), demand, At(60));
   workers.AttemptEnded("w1", "", 0, AttemptOutcome::kServed, At(60));
   CHECK(workers.Choose(demand, configuration, At(60)).worker->record.id == "w1");
 }
 
-TEST_CASE("workers: many nodes that know the same do not all choose the same") {
+TEST_CASE("workers: many nodes with the same data do not all choose the same worker") {
   const Configuration configuration = PlainConfiguration();
   std::map<std::string, int> chosen;
   for (int node = 0; node < 60; ++node) {
@@ -283,7 +286,7 @@
   }
 }
 
-TEST_CASE("workers: places taken by the other nodes count") {
+TEST_CASE("workers: slots used by the other nodes count") {
   const Configuration configuration = PlainConfiguration();
   WorkerDirectory workers("n", "z");
   workers.Update(RecordOf("w1", ""), 1, At(0));
--- a/tests/serving/request_explanation_test.cc
+++ b/tests/serving/request_explanation_test.cc
@@ -1,4 +1,4 @@
-// One failure of each kind is played, and its cause is found from the nodes' logs alone.
+// Produces one failure of each kind and checks that its cause is found from the nodes' logs alone.
 #include "hingespan/operator/request_explanation.h"
 
 #include <doctest/doctest.h>
@@ -32,7 +32,8 @@
   return ExplainRequest(lines, id);
 }
 
-TEST_CASE("refused though workers were free: no worker held the model, and what was ordered") {
+TEST_CASE(
+    "refused although workers were free: no worker held the model, and which load was ordered") {
   GatewayWorld world;
   world.PutConfiguration(2, 20000, 4.0);
   emulator::PlatformWorkerOptions options;
@@ -40,7 +41,7 @@
   options.service = "models";
   options.load_time = absl::Seconds(60);
   world.AddWorker(options);
-  // The node that refuses is not the one that orders.
+  // The refusing node is not the one that sends orders.
   world.AddNode("n1");
   TestNode* const other = world.AddNode("n2");
   TestRequest request = StreamRequest("/stream/x", "refused-1", "m2");
@@ -53,7 +54,7 @@
   CHECK(absl::StrContains(explanation.cause, "at worker w1 was ordered"));
 }
 
-TEST_CASE("broken off midway: the worker, and that the route allowed no further one") {
+TEST_CASE("broken off midway: names the worker and that the route allowed no other one") {
   GatewayWorld world;
   world.AddModelWorker("w1", "m1")->SetFault(WorkerFault::kBreaksStream);
   TestNode* const node = world.AddNode("n1");
@@ -65,7 +66,7 @@
   CHECK(explanation.lines.size() >= 2);
 }
 
-TEST_CASE("late by a cold model: how long it waited, and the load that it waited for") {
+TEST_CASE("late because of a cold model: names the wait and the load it waited for") {
   GatewayWorld world;
   emulator::PlatformWorkerOptions options;
   options.id = "w1";
@@ -82,7 +83,7 @@
   CHECK(absl::StrContains(explanation.cause, "first replica"));
 }
 
-TEST_CASE("refused before it had a route: the node and the configuration in force there") {
+TEST_CASE("refused without a route: names the node and its configuration version") {
   GatewayWorld world;
   world.PutConfiguration(7);
   TestNode* const node = world.AddNode("n1");
@@ -96,7 +97,7 @@
         "404: version 7 of the configuration, in force at n1, has no route for it");
 }
 
-TEST_CASE("a request that no line names is said so") {
+TEST_CASE("a request that appears in no log line is reported as not found") {
   const RequestExplanation explanation = ExplainRequest({"noise", "{}", "{\"event\":1}"}, "x");
   CHECK(!explanation.found);
 }
--- a/tests/serving/table_copy_test.cc
+++ b/tests/serving/table_copy_test.cc
@@ -16,7 +16,7 @@
   return {"t", key, value, version, removed};
 }
 
-TEST_CASE("changes after a version hold removals, those a later snapshot shows too") {
+TEST_CASE("changes after a version include removals, also those implied by a later snapshot") {
   TableCopy copy("t", nullptr);
   copy.TakeSnapshot({{Row("a", "1", 3), Row("b", "1", 4)}, 5}, kNow);
   copy.TakeChanges({{Row("a", "", 6, true)}, 6}, kNow);
@@ -31,7 +31,7 @@
   CHECK(changes->version == 9);
 }
 
-TEST_CASE("a copy does not pretend to reach back before its first snapshot") {
+TEST_CASE("a copy reports no changes from before its first snapshot") {
   TableCopy copy("t", nullptr);
   CHECK(!copy.ChangesAfter(1).has_value());
   copy.TakeSnapshot({{Row("a", "1", 3)}, 5}, kNow);
@@ -39,7 +39,7 @@
   CHECK(copy.ChangesAfter(5).has_value());
 }
 
-TEST_CASE("a change that means the same is not passed on") {
+TEST_CASE("a change to an equivalent value is not passed on") {
   TableCopy copy("t", [](const StoreRow& left, const StoreRow& right) {
     return left.value.substr(0, 1) == right.value.substr(0, 1);
   });
--- a/tests/serving/table_follower_test.cc
+++ b/tests/serving/table_follower_test.cc
@@ -9,7 +9,7 @@
 namespace hingespan::gateway {
 namespace {
 
-// Holds each call until the test answers it.
+// Store that holds each call until the test answers it.
 class HeldStore : public SharedStore {
  public:
   struct Held {
@@ -71,7 +71,9 @@
   CHECK(fixture.changes == 1);
 }
 
-TEST_CASE("while the store does not answer, questions are short, so that its return is seen") {
+TEST_CASE(
+    "while the store does not answer, watch calls return at once, so that its recovery is "
+    "noticed") {
   Fixture fixture;
   fixture.follower.Start();
   REQUIRE(fixture.WaitForCall());
@@ -87,7 +89,7 @@
   CHECK(fixture.store.held.back().wait == fixture.settings.wait);
 }
 
-TEST_CASE("when the history is gone, a snapshot is taken, and an older one is not") {
+TEST_CASE("a lost history leads to a new snapshot, and an older snapshot is rejected") {
   Fixture fixture;
   fixture.follower.Start();
   REQUIRE(fixture.WaitForCall());
--- a/tests/serving/worker_counts_test.cc
+++ b/tests/serving/worker_counts_test.cc
@@ -1,4 +1,4 @@
-// What the directory counts at workers whose rows come and go.
+// Tests of the directory's counts for workers whose rows disappear and reappear.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -35,9 +35,9 @@
   return demand;
 }
 
-// Guards against: a worker whose row was away for a while, e.g. with an outage of the store, gets
-// more requests than it has slots, since those that run there are not counted any more.
-TEST_CASE("attempts under way count when the row of their worker is back") {
+// Guards against sending a worker more requests than it has slots after its row disappeared for a
+// while, e.g. during an outage of the store, because requests in flight are no longer counted.
+TEST_CASE("attempts in flight are counted when the row of their worker reappears") {
   const Configuration configuration = OneService();
   WorkerDirectory workers("n", "z");
   workers.Update(RecordOf("w1", 2), 1, kNow);
@@ -59,22 +59,22 @@
   CHECK(workers.Find("w1")->running_by_model.empty());
 }
 
-// Guards against: a worker counts as full for as long as this node gets no news, e.g. while the
-// holder and the store are out of reach.
-TEST_CASE("what the other nodes ran there is forgotten when nobody tells of it any more") {
+// Guards against a worker that counts as full for as long as this node gets no reports, e.g. while
+// the lease holder and the store are unreachable.
+TEST_CASE("the other nodes' loads expire when they are no longer reported") {
   const Configuration configuration = OneService();
   WorkerDirectory workers("n", "z");
   workers.Update(RecordOf("w1", 2), 1, kNow);
   workers.SetPeersLoads({{"w1", {2, 30}}}, kNow);
   const WorkerDemand demand = DemandOf(30);
-  // A takeover of the lease is no reason yet.
+  // The loads are kept during a takeover of the lease.
   CHECK(workers.Choose(demand, configuration, kNow + absl::Seconds(8)).problem ==
         ChoiceProblem::kAllBusy);
   CHECK(workers.Choose(demand, configuration, kNow + absl::Minutes(1)).worker != nullptr);
 }
 
-// Guards against: counts that drift, so that a worker looks busy or free for ever.
-TEST_CASE("property: what runs at a worker is what was started and has not ended") {
+// Guards against counts that drift, so that a worker looks busy or free forever.
+TEST_CASE("property: the running count equals the attempts that started and have not ended") {
   CHECK(rc::check("rows and attempts in any order", [] {
     WorkerDirectory workers("n", "z");
     struct Attempt {
