--- a/tests/retry_budget/retry_budget_test.cc
+++ b/tests/retry_budget/retry_budget_test.cc
@@ -1,5 +1,5 @@
-// The budget of repeats before a fleet whose nodes start, are killed, stop and lose sight of each
-// other: what all send together, counted as the users count it.
+// Tests of the retry budget on a simulated fleet whose nodes start, are killed, stop and fail to
+// read the fleet table. The retries of all nodes together are counted the way the users count them.
 #include "hingespan/serving/retry_budget.h"
 
 #include <doctest/doctest.h>
@@ -23,7 +23,7 @@
 constexpr int kNodes = 6;
 constexpr double kNever = std::numeric_limits<double>::infinity();
 constexpr double kStep = 0.1;
-// Seconds until which the fleet runs undisturbed, and until which it runs.
+// Times in seconds at which disturbances may begin and at which the run ends.
 constexpr double kUndisturbed = 45;
 constexpr double kEnd = 100;
 constexpr double kStopTime = 8;
@@ -35,7 +35,7 @@
 
 enum class EventKind { kKill, kStop, kBlind, kFailures, kMoveLoad };
 
-// Something that happens to `count` nodes from `node` on.
+// Disturbance that affects `count` nodes, starting with `node`.
 struct Event {
   EventKind kind = EventKind::kKill;
   double at = 0;
@@ -62,8 +62,8 @@
       }))));
 }
 
-// Nodes with a table of rows, in virtual time. Requests come at a steady rate; while workers fail,
-// every node sends all repeats that its budget grants.
+// Simulates nodes with a fleet table in virtual time. Requests arrive at a steady rate; while
+// workers fail, every node sends all retries that its budget allows.
 class FleetOfBudgets {
  public:
   explicit FleetOfBudgets(unsigned seed) : random_(seed) {
@@ -84,12 +84,14 @@
     }
   }
 
-  // The largest excess over what the users allow in any window; at most 0 when none is exceeded.
+  // Returns the largest excess of retries over the users' limit in any window; at most 0 if the
+  // limit is never exceeded.
   double WorstExcess() const {
     double worst = -kNever;
     const double window = absl::ToDoubleSeconds(kLimits.window);
     for (const double end : repeats_) {
-      // The users count a window's requests, or those of one half a window or a window earlier.
+      // The users count the requests of the same window, or of a window that lies half a window or
+      // one window earlier.
       const int most = std::max({Count(requests_, end - window, end),
                                  Count(requests_, end - 1.5 * window, end - 0.5 * window),
                                  Count(requests_, end - 2 * window, end - window)});
@@ -166,7 +168,7 @@
     }
     const double expected = kRequestsEachSecond * kStep;
     for (int number = 0; number < static_cast<int>(expected); ++number) {
-      // The busiest node gets most of the load.
+      // The busiest node, if there is one, receives most of the load.
       const int node =
           busiest_ >= 0 && Uniform(0, 1) < 0.9 ? busiest_ : static_cast<int>(Uniform(0, kNodes));
       processes_[node].budget.RecordRequest(kService, At(now_));
@@ -181,7 +183,7 @@
     }
   }
 
-  // A copy of the table, as it stood a short while ago.
+  // Gives the process a slightly outdated copy of the table.
   void Read(Process* process) {
     process->next_read = now_ + Uniform(1, kLongestReadInterval);
     const double of = std::max(0.0, now_ - Uniform(0, kOldestCopy));
@@ -192,7 +194,7 @@
   std::mt19937 random_;
   double now_ = 0;
   std::set<std::string> table_;
-  // The table's states by the time from which they hold.
+  // States of the table by the time at which each became current.
   std::map<double, std::set<std::string>> tables_;
   std::vector<Process> processes_;
   double failing_until_ = 0;
@@ -201,7 +203,7 @@
   std::vector<double> repeats_;
 };
 
-// Plays `events` beside workers that fail at some time.
+// Runs a fleet with events of these kinds and failing workers, and checks the budget.
 void CheckBudget(std::vector<EventKind> kinds) {
   kinds.push_back(EventKind::kFailures);
   const std::vector<Event> events = *EventsOf(kinds);
@@ -210,38 +212,39 @@
   RC_ASSERT(fleet.WorstExcess() <= 0);
 }
 
-// Guards against a process that has its part of the budget again that its predecessor used up.
-TEST_CASE("killed and started again: a process does not spend its predecessor's repeats again") {
+// Guards against a restarted process that spends the share of the budget that its predecessor
+// already used.
+TEST_CASE("a restarted process does not spend its predecessor's retries again") {
   CHECK(rc::check("nodes are killed", [] { CheckBudget({EventKind::kKill}); }));
 }
 
-// Guards against dividing the budget by fewer nodes than still send repeats.
-TEST_CASE("nodes that stop slowly keep within the parts that the others leave them") {
+// Guards against dividing the budget by fewer nodes than still send retries.
+TEST_CASE("slowly stopping nodes stay within the shares that the others leave them") {
   CHECK(rc::check("nodes stop", [] { CheckBudget({EventKind::kStop}); }));
 }
 
-// Guards against a node that takes an old, or no, number of nodes for the fleet's.
-TEST_CASE("a node that can't read the table does not use a part that others may count on") {
-  CHECK(rc::check("nodes are blind", [] {
+// Guards against a node that uses an outdated number of nodes, or none.
+TEST_CASE("a node that can't read the table does not use a share that others may use") {
+  CHECK(rc::check("nodes can't read the table", [] {
     CheckBudget({EventKind::kBlind, EventKind::kStop, EventKind::kKill});
   }));
 }
 
-// Guards against nodes that earn repeats in turn, each with the requests of another window.
-TEST_CASE("load that moves from node to node earns its repeats once") {
+// Guards against nodes that earn retries in turn, each from the requests of a different window.
+TEST_CASE("load that moves from node to node earns its retries only once") {
   CHECK(rc::check("load moves", [] { CheckBudget({EventKind::kMoveLoad}); }));
 }
 
-// Guards against any mix of these.
-TEST_CASE("property: a fleet in trouble stays within the budget in any window") {
+// Guards against any combination of these failures.
+TEST_CASE("property: a fleet with failures stays within the budget in any window") {
   CHECK(rc::check("all together", [] {
     CheckBudget({EventKind::kKill, EventKind::kStop, EventKind::kBlind, EventKind::kMoveLoad});
   }));
 }
 
-// Guards against nodes whose counts, taken at different instants, add up to more than is allowed.
+// Guards against nodes whose counts, taken at different times, add up to more than the limit.
 TEST_CASE("property: all nodes together stay within the budget in any window") {
-  CHECK(rc::check("repeats of several nodes", [] {
+  CHECK(rc::check("retries of several nodes", [] {
     const RetryBudgetLimits limits{0.2, 12, absl::Seconds(10)};
     const int nodes = *rc::gen::inRange(1, 5);
     std::vector<std::string> names;
@@ -253,7 +256,8 @@
     budgets.reserve(nodes);
     for (const std::string& name : names) {
       budgets.emplace_back(limits, FleetShare(name), At(-30));
-      // Long ago, so that each node has its part from the first request on.
+      // This read lies far enough in the past for each node to have its share from the first
+      // request on.
       budgets.back().SetNodes(names, At(-30), At(-30));
     }
     std::vector<double> requests;
@@ -280,7 +284,8 @@
       return sum;
     };
     for (const double end : repeats) {
-      // The users count a window's requests, or those of one half a window or a window earlier.
+      // The users count the requests of the same window, or of a window that lies half a window or
+      // one window earlier.
       const int most = std::max({count(requests, end - 10, end), count(requests, end - 15, end - 5),
                                  count(requests, end - 20, end - 10)});
       RC_ASSERT(count(repeats, end - 10, end) <= 0.2 * most + 12);
@@ -288,7 +293,7 @@
   }));
 }
 
-// Guards against a budget that is kept by sending nothing.
+// Guards against a budget that is met by sending no retries at all.
 TEST_CASE("an undisturbed fleet may send most of its budget") {
   FleetOfBudgets fleet(1);
   fleet.Play({{EventKind::kFailures, kUndisturbed, 0, 1, 10}});
