--- a/include/hingespan/settings/node_settings.h
+++ b/include/hingespan/settings/node_settings.h
@@ -1,4 +1,4 @@
-// Settings of a node (hingespand): a TOML file, then flags that override its keys.
+// Settings of a node (hingespand), read from a TOML file and from flags that override its keys.
 #ifndef HINGESPAN_SETTINGS_NODE_SETTINGS_H_
 #define HINGESPAN_SETTINGS_NODE_SETTINGS_H_
 
@@ -13,34 +13,35 @@
 namespace hingespan {
 
 struct TlsSettings {
-  // PEM files; both empty: plain HTTP.
+  // Server certificate and its key, as PEM files; both empty for plain HTTP.
   std::string certificate_file;
   std::string key_file;
-  // Callers and operators must show a certificate that this one signed; empty: none is asked.
+  // PEM file of the authority that must have signed the certificates of callers and operators;
+  // empty if no client certificate is required.
   std::string client_ca_file;
-  // Nodes that requests are forwarded to must show a certificate that this one signed; empty:
-  // client_ca_file, and without that too, none is checked.
+  // PEM file of the authority that must have signed the certificates of nodes to which requests are
+  // forwarded. Empty to use client_ca_file; if both are empty, no certificate is checked.
   std::string node_ca_file;
   bool enabled() const { return !certificate_file.empty(); }
 };
 
 struct HttpSettings {
-  // "ip:port"; port 0 lets the kernel pick.
+  // Listen address, "ip:port"; port 0 lets the kernel choose a port.
   std::string listen = "127.0.0.1:0";
-  // Connections served at once; one thread each.
+  // Maximum number of connections served at once, each by its own thread.
   int maximum_connections = 256;
-  // Connections beyond the former that are answered 503 at once, in parallel.
+  // Maximum number of excess connections that are answered with 503 in parallel.
   int maximum_refusals = 16;
   std::size_t maximum_body_bytes = 1 << 20;
-  // The whole request must have arrived within this time.
+  // Time within which the whole request must have arrived.
   absl::Duration receive_timeout = absl::Seconds(5);
   absl::Duration keep_alive_timeout = absl::Seconds(2);
-  // A write that the caller does not take for this long ends the connection.
+  // Time after which a write that the caller doesn't accept ends the connection.
   absl::Duration send_timeout = absl::Seconds(10);
   TlsSettings tls;
 };
 
-// Files that hold one secret each; empty: none. Surrounding white space is not part of a secret.
+// Files that contain one secret each; empty for none. White space around a secret is ignored.
 struct SecretFiles {
   std::string caller_key_file;
   std::string operator_key_file;
@@ -48,52 +49,54 @@
 };
 
 struct NodeSettings {
-  // Core options but for what is known only once sockets are bound: addresses and incarnation.
+  // Core options, except addresses and incarnation, which are known only once sockets are bound.
   CoreOptions core;
   HttpSettings http;
-  // "ip:port" of the control datagrams.
+  // Listen address for control datagrams, "ip:port".
   std::string control_listen = "127.0.0.1:0";
-  // "ip:port" of the platform's services.
+  // Address of the platform's services, "ip:port".
   std::string platform_address;
   absl::Duration platform_timeout = absl::Seconds(2);
   absl::Duration engine_timeout = absl::Seconds(2);
-  // Longest time that a planned stop waits for requests in progress.
+  // Maximum time that a planned stop waits for requests in flight.
   absl::Duration stop_timeout = absl::Minutes(2);
   SecretFiles secret_files;
-  // Secrets, read from files named in the settings; never logged. Empty: not asked for.
-  std::string caller_key;    // Callers send "Authorization: Bearer ...".
-  std::string operator_key;  // Operators likewise, on /admin paths.
-  std::string cluster_key;   // Signs control datagrams and forwarded requests.
-  // Tests only: a planned stop does not wait for requests in progress.
+  // Secrets, read from the files named in the settings; never logged. Empty if not required.
+  std::string caller_key;    // Callers send it as "Authorization: Bearer ...".
+  std::string operator_key;  // Operators send it likewise, on /admin paths.
+  std::string cluster_key;   // It signs control datagrams and forwarded requests.
+  // For tests only: a planned stop doesn't wait for requests in flight.
   bool disable_drain_for_test = false;
-  // Lets a node without TLS and cluster key listen on other than loopback addresses.
+  // Allows a node without TLS or without a cluster key to listen on other than loopback addresses.
   bool allow_insecure = false;
   LogSettings log;
 };
 
-// Settings, and everything that is wrong with them. With findings, `settings` is not to be used.
+// Settings with all problems found in them. `settings` must not be used unless `findings` is empty.
 struct LoadedNodeSettings {
   NodeSettings settings;
   Findings findings;
 };
 
-// One "key=value" from a flag; it overrides the file's key.
+// A "key=value" flag that overrides the file's value for the key.
 struct SettingOverride {
   std::string key;
   std::string value;
 };
 
-// Reads and checks all of it; unknown keys are findings. An empty `file` means flags only.
+// Reads and checks the file and the flags; unknown keys are findings. If `file` is empty, only the
+// flags are used.
 LoadedNodeSettings LoadNodeSettings(const std::string& file,
                                     const std::vector<SettingOverride>& overrides);
 
-// Every key with its allowed values, default and meaning, for --help and the operators' page.
+// Key with its allowed values, default and meaning, for --help and the operators' page.
 struct SettingDescription {
   std::string key;
   std::string type;
   std::string default_value;
   std::string meaning;
 };
+// Returns the descriptions of all settings.
 std::vector<SettingDescription> DescribeNodeSettings();
 
 }  // namespace hingespan
--- a/include/hingespan/settings/setting_checks.h
+++ b/include/hingespan/settings/setting_checks.h
@@ -1,4 +1,4 @@
-// Checks of a node's settings that look at more than one value.
+// Checks that involve more than one of a node's settings.
 #ifndef HINGESPAN_SETTINGS_SETTING_CHECKS_H_
 #define HINGESPAN_SETTINGS_SETTING_CHECKS_H_
 
@@ -10,11 +10,11 @@
 
 namespace hingespan {
 
-// Where each key that was given stands.
+// Place of each given key.
 using SettingPlaces = absl::flat_hash_map<std::string, Place>;
 
-// Appends what does not fit together, or is required and missing. `file` is the place of keys that
-// were not given.
+// Appends a finding for each conflict between settings and each missing required key. `file` is
+// reported as the place of keys that were not given.
 void CheckSettings(const NodeSettings& settings, const SettingPlaces& places,
                    const std::string& file, Findings* findings);
 
--- a/include/hingespan/settings/setting_descriptor.h
+++ b/include/hingespan/settings/setting_descriptor.h
@@ -1,5 +1,5 @@
-// One setting as data: its key, where its value lives, what is allowed and what it means. The list
-// of descriptors serves parsing, checking, help and the operators' page.
+// Descriptor of a setting: its key, the field that stores its value, the allowed values and the
+// meaning. Parsing, checks, help and the operators' page use the same list of descriptors.
 #ifndef HINGESPAN_SETTINGS_SETTING_DESCRIPTOR_H_
 #define HINGESPAN_SETTINGS_SETTING_DESCRIPTOR_H_
 
@@ -19,7 +19,8 @@
 template <typename T>
 using SettingAccessor = T& (*)(NodeSettings&);
 
-// Where the value lives. The alternative decides how it is read and printed.
+// Accessor of the field that stores the value. Its type determines how the value is parsed and
+// printed.
 using SettingField = std::variant<
     SettingAccessor<bool>, SettingAccessor<int>, SettingAccessor<std::uint32_t>,
     SettingAccessor<std::uint64_t>, SettingAccessor<double>, SettingAccessor<absl::Duration>,
@@ -27,25 +28,25 @@
     SettingAccessor<NodeId>, SettingAccessor<ZoneId>, SettingAccessor<std::vector<ZoneId>>,
     SettingAccessor<LogLevel>, SettingAccessor<LogFormat>, SettingAccessor<KeepWarmMode>>;
 
-// Rules for text beyond its type.
+// Rules for the content of string values.
 enum class TextRule {
   kNone,
-  // Letters, digits, '.', '_' and '-'; up to 64.
+  // Up to 64 letters, digits, '.', '_' and '-'.
   kName,
   // "ip:port" with a port above 0.
   kAddress,
-  // "ip:port"; port 0 lets the kernel pick.
+  // "ip:port"; port 0 lets the kernel choose a port.
   kListenAddress,
 };
 
-// Inclusive; of durations in milliseconds.
+// Inclusive range of a number; in milliseconds for durations.
 struct NumberRange {
   double minimum = 0;
   double maximum = std::numeric_limits<std::uint32_t>::max();
 };
 
 struct SettingDescriptor {
-  // "section.name"; names of durations end in "_ms".
+  // Key in the form "section.name"; names of durations end in "_ms".
   std::string_view key;
   SettingField field;
   NumberRange range;
@@ -55,27 +56,28 @@
 
 // All settings, in the order of the operators' page.
 const std::vector<SettingDescriptor>& AllSettings();
-// Null when there is none.
+// Returns null if there is no such setting.
 const SettingDescriptor* FindSetting(std::string_view key);
 
-// "integer 1..64", "milliseconds 1..3600000" and so on: what is allowed.
+// Returns the allowed values as text, e.g. "integer 1..64" or "milliseconds 1..3600000".
 std::string SettingType(const SettingDescriptor& setting);
-// The value in `settings`, as it would be written in the file.
+// Returns the value in `settings` as TOML.
 std::string PrintSetting(const SettingDescriptor& setting, NodeSettings settings);
 
-// Sets the value. Returns what is wrong with it, or nothing; then `settings` has it.
+// Sets the value in `settings`. Returns an empty string, or a description of the problem if the
+// value is not allowed; `settings` is then unchanged.
 std::string AssignSetting(const SettingDescriptor& setting, const TomlValue& value,
                           NodeSettings* settings);
-// The value that a flag's text stands for: by the setting's type, lists are split at commas.
+// Parses a flag's text according to the setting's type; lists are split at commas.
 TomlValue ValueOfText(const SettingDescriptor& setting, std::string_view text);
 
-// Whether `text` is "ip:port" with a numeric IPv4 or bracketed IPv6 address.
+// Returns whether `text` is "ip:port" with a numeric IPv4 or bracketed IPv6 address.
 bool IsIpAndPort(std::string_view text);
-// Whether an "ip:port" names this machine only.
+// Returns whether an "ip:port" is a loopback address.
 bool IsLoopback(std::string_view ip_and_port);
-// The port of an "ip:port"; 0 when there is none.
+// Returns the port of an "ip:port", or 0 if there is none.
 int PortOf(std::string_view ip_and_port);
-// Whether `text` fits TextRule::kName.
+// Returns whether `text` conforms to TextRule::kName.
 bool IsName(std::string_view text);
 
 }  // namespace hingespan
--- a/include/hingespan/settings/toml_document.h
+++ b/include/hingespan/settings/toml_document.h
@@ -1,4 +1,5 @@
-// A TOML text as a flat list of entries with their places, so that only one file includes toml++.
+// TOML text as a flat list of entries with their places, so that only one source file includes
+// toml++.
 #ifndef HINGESPAN_SETTINGS_TOML_DOCUMENT_H_
 #define HINGESPAN_SETTINGS_TOML_DOCUMENT_H_
 
@@ -13,9 +14,9 @@
 
 namespace hingespan {
 
-// A table's own entry; its members follow it.
+// Marks a table; the entries of its members follow.
 struct TomlTable {};
-// A value of a type that no setting has, e.g. a date.
+// Value of a type that no setting has, e.g. a date.
 struct TomlOther {
   std::string type;
 };
@@ -23,26 +24,27 @@
                                std::vector<std::string>>;
 
 struct TomlEntry {
-  // E.g. {"http", "tls", "key_file"}.
+  // Components of the key, e.g. {"http", "tls", "key_file"}.
   std::vector<std::string> path;
   TomlValue value;
   Place place;
 };
 
 struct TomlDocument {
-  // In the order of the text.
+  // Entries in the order of the text.
   std::vector<TomlEntry> entries;
-  // What is wrong with the text as TOML; then `entries` is empty.
+  // Syntax errors; if there are any, `entries` is empty.
   Findings findings;
 };
 
-// `file` names the text in places.
+// Parses `text`; `file` is the file name used in places.
 TomlDocument ParseToml(std::string_view text, const std::string& file);
 
-// The whole file, at most a few MiB. kNotFound when it can't be opened.
+// Reads a whole file. Errors: kNotFound if it can't be opened or read, kMalformed if it is larger
+// than 64 MiB.
 Result<std::string> ReadTextFile(const std::string& file);
 
-// A TOML string literal.
+// Returns `text` as a TOML string literal.
 std::string QuoteToml(std::string_view text);
 
 }  // namespace hingespan
--- a/src/settings/node_settings.cc
+++ b/src/settings/node_settings.cc
@@ -17,13 +17,13 @@
 constexpr std::size_t kShortestSecret = 16;
 constexpr char kFlagPlace[] = "--set";
 
-// "http.tls" of "http.tls.key_file".
+// Returns the section of a key, e.g. "http.tls" for "http.tls.key_file".
 std::string SectionOf(std::string_view key) {
   const std::size_t dot = key.rfind('.');
   return std::string(dot == std::string_view::npos ? "" : key.substr(0, dot));
 }
 
-// Whether some setting is inside of the section, or deeper.
+// Returns whether any setting is in the section or in one of its subsections.
 bool IsSection(const std::string& section) {
   const auto& all = AllSettings();
   return std::any_of(all.begin(), all.end(), [&section](const SettingDescriptor& setting) {
@@ -97,7 +97,7 @@
     }
   }
 
-  // Such a section has its own finding, and its keys have none.
+  // Keys of an unknown section are not reported, as the section itself is.
   bool InUnknownSection(const std::string& key) const {
     return std::any_of(
         unknown_sections_.begin(), unknown_sections_.end(),
--- a/src/settings/placer_settings.cc
+++ b/src/settings/placer_settings.cc
@@ -1,4 +1,4 @@
-// The settings of placers.
+// Settings of placers.
 #include "setting_sections.h"
 
 namespace hingespan::setting_sections {
--- a/src/settings/setting_checks.cc
+++ b/src/settings/setting_checks.cc
@@ -12,7 +12,7 @@
 namespace hingespan {
 namespace {
 
-// A worker must miss this many reports before it gets no new work.
+// Number of reports that a worker may miss before it gets no new work.
 constexpr int kLeastReportsMissed = 2;
 
 class Checker {
@@ -35,7 +35,7 @@
   }
 
  private:
-  // A duration and its key.
+  // Duration with its key.
   struct TimedKey {
     std::string_view key;
     absl::Duration value;
@@ -50,7 +50,7 @@
   }
 
   void Require(std::string_view key, bool present) {
-    // A value that was given and refused has its own finding.
+    // A value that was given but rejected is already reported.
     if (!present && !Given(key)) {
       const SettingDescriptor* setting = FindSetting(key);
       Add(key, "is required", setting != nullptr ? SettingType(*setting) : "");
--- a/src/settings/setting_descriptor.cc
+++ b/src/settings/setting_descriptor.cc
@@ -98,7 +98,7 @@
 
 constexpr std::string_view kWrongType = "is of another type";
 
-// Sets fields from a TomlValue; returns what is wrong, or nothing.
+// Sets the field from a TomlValue. Returns an empty string, or a description of the problem.
 class Assigner {
  public:
   Assigner(const SettingDescriptor& setting, const TomlValue& value, NodeSettings* settings)
--- a/src/settings/setting_list.cc
+++ b/src/settings/setting_list.cc
@@ -18,7 +18,7 @@
 using setting_sections::Settings;
 using setting_sections::Text;
 
-// Node.
+// Settings of the node itself.
 Settings NodeSection() {
   return {
       Text(
@@ -42,7 +42,7 @@
   };
 }
 
-// Callers and operators.
+// Connections of callers and operators.
 Settings HttpSection() {
   return {
       Text(
@@ -101,7 +101,7 @@
   };
 }
 
-// Platform.
+// Access to the platform.
 Settings PlatformSection() {
   return {
       Text(
@@ -117,7 +117,7 @@
   };
 }
 
-// Engines.
+// Calls to engines.
 Settings EngineSection() {
   return {
       Ranged(
@@ -126,7 +126,7 @@
   };
 }
 
-// Secrets: each is the content of the file that the key names.
+// Secrets. Each key names a file that contains the secret.
 Settings SecretsSection() {
   return {
       Plain(
@@ -145,7 +145,7 @@
   };
 }
 
-// Membership of a zone.
+// Membership protocol of a zone.
 Settings MembershipSection() {
   return {
       Ranged(
@@ -184,7 +184,7 @@
   };
 }
 
-// Replicated records.
+// Replication of records.
 Settings RecordsSection() {
   return {
       Ranged(
@@ -210,7 +210,7 @@
   };
 }
 
-// Claims on requests that must not run twice.
+// Claims on requests that must not be executed twice.
 Settings ClaimsSection() {
   return {
       Ranged(
@@ -233,7 +233,7 @@
   };
 }
 
-// Grants: which worker may hold a replica.
+// Grants, which decide which worker may hold a replica.
 Settings GrantsSection() {
   return {
       Ranged(
@@ -254,7 +254,7 @@
   };
 }
 
-// Keepers: loading and unloading at a worker.
+// Keepers, which load and unload models at a worker.
 Settings KeeperSection() {
   return {
       Ranged(
@@ -323,7 +323,7 @@
   };
 }
 
-// When idle replicas are unloaded.
+// Unloading of idle replicas.
 Settings KeepWarmSection() {
   return {
       Plain(
@@ -352,7 +352,7 @@
   };
 }
 
-// The weight store's budget, with keeper.use_permits.
+// Permits for the weight store, which are required if keeper.use_permits is set.
 Settings PermitsSection() {
   return {
       Ranged(
@@ -393,7 +393,7 @@
   };
 }
 
-// What a node knows of its zone's workers.
+// Directory of the zone's workers.
 Settings DirectorySection() {
   return {
       Ranged(
@@ -461,7 +461,7 @@
   };
 }
 
-// Log.
+// Log output.
 Settings LogSection() {
   return {
       Plain(
@@ -473,7 +473,7 @@
   };
 }
 
-// Faults for tests. Never for use in production: each of them breaks a guarantee.
+// Fault injection for tests. Never for use in production, as each setting breaks a guarantee.
 Settings TestOnlySection() {
   return {
       Plain(
--- a/src/settings/setting_sections.h
+++ b/src/settings/setting_sections.h
@@ -1,4 +1,4 @@
-// What the files that list settings share. Internal to the module.
+// Helpers shared by the files that list settings. Internal to the module.
 #ifndef HINGESPAN_SETTINGS_SETTING_SECTIONS_H_
 #define HINGESPAN_SETTINGS_SETTING_SECTIONS_H_
 
@@ -12,12 +12,12 @@
 using S = NodeSettings;
 using Settings = std::vector<SettingDescriptor>;
 
-// Ranges in milliseconds.
+// Upper limits of ranges, in milliseconds.
 inline constexpr double kMinute = 60'000;
 inline constexpr double kTenMinutes = 10 * kMinute;
 inline constexpr double kHour = 60 * kMinute;
 inline constexpr double kDay = 24 * kHour;
-// Integers up to here are exact in NumberRange.
+// Largest integer, 2^53, up to which all integers are exact in NumberRange.
 inline constexpr double kLargestInteger = 9'007'199'254'740'992;
 
 inline SettingDescriptor Ranged(std::string_view key, SettingField field, NumberRange range,
@@ -34,7 +34,8 @@
   return {key, field, {}, TextRule::kNone, meaning};
 }
 
-// Placers: which granted worker loads, and when one more does.
+// Settings of placers, which choose the granted worker that loads a model and when another one
+// does.
 Settings PlacerSection();
 
 }  // namespace hingespan::setting_sections
--- a/src/settings/text_rules.cc
+++ b/src/settings/text_rules.cc
@@ -19,7 +19,7 @@
   int port = kNoPort;
 };
 
-// The port is kNoPort when `text` has another form.
+// Splits an "ip:port"; the port is kNoPort if `text` has a different form.
 IpAndPort Split(std::string_view text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos) {
--- a/src/settings/toml_document.cc
+++ b/src/settings/toml_document.cc
@@ -78,7 +78,8 @@
   }
 
  private:
-  // A table's own region is its header; of other values the key's place helps most.
+  // Returns the region of the key, which is the most helpful place for values. A table whose key has
+  // none has its header as its own region.
   static const toml::source_region& PlaceRegion(const toml::key& key, const toml::node& node) {
     return key.source().begin.line > 0 ? key.source() : node.source();
   }
@@ -117,7 +118,7 @@
       return Error::kMalformed;
     }
   }
-  // A directory can be opened, and not read.
+  // A directory can be opened but not read.
   if (stream.bad()) {
     return Error::kNotFound;
   }
--- a/tests/settings/node_settings_test.cc
+++ b/tests/settings/node_settings_test.cc
@@ -14,7 +14,7 @@
 namespace hingespan {
 namespace {
 
-// A file in the system's temporary directory, removed at the end.
+// File in the system's temporary directory that is removed at the end.
 class TemporaryFile {
  public:
   explicit TemporaryFile(const std::string& text) {
@@ -52,7 +52,7 @@
   return found != findings.end() ? &*found : nullptr;
 }
 
-// The keys with findings after `valid` settings got these flags.
+// Returns the keys with findings after these flags are applied to valid settings.
 std::set<std::string> FindingsOf(const std::vector<SettingOverride>& overrides) {
   std::set<std::string> keys;
   for (const Finding& finding : Load(kValid, overrides).findings) {
@@ -72,7 +72,7 @@
   CHECK(loaded.settings.core.membership.probe_interval == MembershipOptions().probe_interval);
 }
 
-TEST_CASE("values of every type reach their place") {
+TEST_CASE("values of every type are stored in their fields") {
   const LoadedNodeSettings loaded = Load(std::string(kValid) + R"(
 [membership]
 probe_interval_ms = 700
@@ -104,7 +104,7 @@
   CHECK(core.keeper.disable_ledger_for_test);
 }
 
-TEST_CASE("all findings come together, each with its place and what is allowed") {
+TEST_CASE("all findings are reported together, each with its place and the allowed values") {
   const LoadedNodeSettings loaded = Load(R"([node]
 name = "not a name"
 zone = 5
@@ -134,7 +134,7 @@
   CHECK(findings.size() == 8);
 }
 
-TEST_CASE("text that is no TOML is one finding with its place") {
+TEST_CASE("invalid TOML is one finding with its place") {
   const LoadedNodeSettings loaded = Load("[node]\nname = \n");
   const Finding* finding = Find(loaded.findings, "syntax");
   REQUIRE(finding != nullptr);
@@ -160,14 +160,14 @@
   CHECK(loaded.settings.core.keeper.use_permits);
 }
 
-TEST_CASE("flags are checked like the file") {
+TEST_CASE("flags are checked like values in the file") {
   CHECK(FindingsOf({{"no.such", "1"}, {"log.level", "loud"}, {"http.listen", "localhost:1"}}) ==
         Keys{"no.such", "log.level", "http.listen"});
   CHECK(FindingsOf({{"membership.probe_interval_ms", "1s"}, {"keeper.use_permits", "yes"}}) ==
         Keys{"membership.probe_interval_ms", "keeper.use_permits"});
 }
 
-TEST_CASE("flags alone are enough") {
+TEST_CASE("flags without a file are enough") {
   const LoadedNodeSettings loaded = LoadNodeSettings("", {{"node.name", "n1"},
                                                           {"node.zone", "z1"},
                                                           {"node.zones", "z1"},
@@ -175,7 +175,7 @@
   CHECK(FormatFindings(loaded.findings) == "");
 }
 
-TEST_CASE("values that do not fit together are findings") {
+TEST_CASE("conflicting values are findings") {
   CHECK(FindingsOf({{"node.zone", "z9"}}) == Keys{"node.zone"});
   CHECK(FindingsOf({{"membership.suspicion_timeout_ms", "300"}}) ==
         Keys{"membership.suspicion_timeout_ms"});
@@ -199,14 +199,14 @@
         Keys{"directory.report_timeout_ms"});
 }
 
-TEST_CASE("a TLS pair must be whole and readable") {
+TEST_CASE("a TLS certificate and key must both be given and readable") {
   CHECK(FindingsOf({{"http.tls.certificate_file", "absent.pem"}}) ==
         Keys{"http.tls.certificate_file", "http.tls.key_file"});
   CHECK(FindingsOf({{"http.tls.client_ca_file", "absent.pem"}}) == Keys{"http.tls.client_ca_file"});
   CHECK(FindingsOf({{"http.tls.node_ca_file", "absent.pem"}}) == Keys{"http.tls.node_ca_file"});
 }
 
-TEST_CASE("other than loopback addresses need TLS and a cluster key, or consent") {
+TEST_CASE("addresses other than loopback need TLS and a cluster key, or node.allow_insecure") {
   const std::vector<SettingOverride> exposed = {{"http.listen", "0.0.0.0:80"},
                                                 {"control.listen", "[::]:81"}};
   CHECK(FindingsOf(exposed) == Keys{"http.listen", "control.listen"});
@@ -215,7 +215,7 @@
   CHECK(FindingsOf(allowed).empty());
 }
 
-TEST_CASE("secrets are read from their files, and never stand in a finding") {
+TEST_CASE("secrets are read from their files and never appear in a finding") {
   const TemporaryFile secret("  a-secret-of-some-length\n");
   const LoadedNodeSettings loaded = Load(kValid, {{"secrets.cluster_key_file", secret.path()}});
   CHECK(FormatFindings(loaded.findings) == "");
@@ -229,7 +229,7 @@
   CHECK(FormatFindings(findings).find("weak-secret") == std::string::npos);
 }
 
-TEST_CASE("every setting is described, once, and its default is allowed") {
+TEST_CASE("every setting is described once, and its default is allowed") {
   NodeSettings settings;
   std::set<std::string> keys;
   for (const SettingDescriptor& setting : AllSettings()) {
