--- a/include/hingespan/serving/table_copy.h
+++ b/include/hingespan/serving/table_copy.h
@@ -24,8 +24,8 @@
   TableCopy(std::string table, SameMeaning same_meaning)
       : table_(std::move(table)), same_meaning_(std::move(same_meaning)) {}
 
-  void TakeSnapshot(const StoreRows& rows, absl::Time now);
-  void TakeChanges(const StoreRows& rows, absl::Time now);
+  void ApplySnapshot(const StoreRows& rows, absl::Time now);
+  void ApplyChanges(const StoreRows& rows, absl::Time now);
 
   bool known() const { return known_; }
   std::uint64_t version() const { return version_; }
--- a/src/fleet/shared_reading.cc
+++ b/src/fleet/shared_reading.cc
@@ -186,7 +186,7 @@
     }
     const auto copy = copies_.find(table);
     if (result.ok() && copy != copies_.end()) {
-      copy->second.TakeSnapshot(*result, loop_->Now());
+      copy->second.ApplySnapshot(*result, loop_->Now());
       ScheduleAnswers(table);
     }
     callback(std::move(result));
@@ -205,7 +205,7 @@
                     changed_at_[table] = loop_->Now();
                   }
                   if (result.ok() && copy != copies_.end()) {
-                    copy->second.TakeChanges(*result, loop_->Now());
+                    copy->second.ApplyChanges(*result, loop_->Now());
                     ScheduleAnswers(table);
                   }
                   callback(std::move(result));
@@ -296,9 +296,9 @@
   TableCopy& copy = copies_.at(table);
   const absl::Time confirmed = loop_->Now() - age;
   if (snapshot) {
-    copy.TakeSnapshot(rows, confirmed);
+    copy.ApplySnapshot(rows, confirmed);
   } else {
-    copy.TakeChanges(rows, confirmed);
+    copy.ApplyChanges(rows, confirmed);
   }
 }
 
--- a/src/serving/table_copy.cc
+++ b/src/serving/table_copy.cc
@@ -21,7 +21,7 @@
   newest_change_ = std::max(newest_change_, row.version);
 }
 
-void TableCopy::TakeSnapshot(const StoreRows& rows, absl::Time now) {
+void TableCopy::ApplySnapshot(const StoreRows& rows, absl::Time now) {
   if (known_ && rows.version < version_) {
     return;
   }
@@ -46,7 +46,7 @@
   confirmed_ = now;
 }
 
-void TableCopy::TakeChanges(const StoreRows& rows, absl::Time now) {
+void TableCopy::ApplyChanges(const StoreRows& rows, absl::Time now) {
   if (!known_) {
     return;
   }
--- a/tests/serving/gateway_test.cc
+++ b/tests/serving/gateway_test.cc
@@ -40,7 +40,7 @@
 }
 
 TEST_CASE("a request reaches a worker unchanged and its answer the caller") {
-  GatewayWorld world;
+  GatewayFixture world;
   const auto* const worker = world.AddPlainWorker("w1");
   TestNode* const node = world.AddNode("n1");
   TestRequest request;
@@ -62,7 +62,7 @@
 
 TEST_CASE(
     "no route is 404, a body beyond the limit 413, a head beyond it 431, malformed data 400") {
-  GatewayWorld world;
+  GatewayFixture world;
   world.AddPlainWorker("w1");
   TestNode* const node = world.AddNode("n1");
   TestRequest request;
@@ -82,7 +82,7 @@
 }
 
 TEST_CASE("a request with two body lengths is refused and reaches no worker") {
-  GatewayWorld world;
+  GatewayFixture world;
   world.AddPlainWorker("w1");
   TestNode* const node = world.AddNode("n1");
   TestCall call;
@@ -97,7 +97,7 @@
 }
 
 TEST_CASE("a node without a configuration answers 503, never 404") {
-  GatewayWorld world;
+  GatewayFixture world;
   world.store.SetFault(StoreFault::kUnavailable);
   world.nodes.push_back(std::make_unique<TestNode>(&world.loop, "n1", world.store.address()));
   TestNode* const node = world.nodes.back().get();
@@ -112,11 +112,11 @@
        {WorkerFault::kFails, WorkerFault::kLosesAnswer, WorkerFault::kOtherRequest,
         WorkerFault::kSheds, WorkerFault::kSilent, WorkerFault::kEncodes}) {
     CAPTURE(static_cast<int>(fault));
-    GatewayWorld world;
+    GatewayFixture world;
     TestNode* const node = world.AddNode("n1");
     TestRequest earning;
     earning.target = "/safe/x";
-    world.EarnRepeats(node, earning);
+    world.EarnRetries(node, earning);
     world.AddPlainWorker("w1")->SetFault(fault);
     world.AddPlainWorker("w2")->SetFault(fault);
     world.AddPlainWorker("w3");
@@ -141,7 +141,7 @@
   for (const WorkerFault fault : {WorkerFault::kFails, WorkerFault::kLosesAnswer,
                                   WorkerFault::kOtherRequest, WorkerFault::kSilent}) {
     CAPTURE(static_cast<int>(fault));
-    GatewayWorld world;
+    GatewayFixture world;
     world.AddPlainWorker("w1")->SetFault(fault);
     world.AddPlainWorker("w2")->SetFault(fault);
     TestNode* const node = world.AddNode("n1");
@@ -157,7 +157,7 @@
 }
 
 TEST_CASE("a request that a worker refused is refused with 503 and a Retry-After") {
-  GatewayWorld world;
+  GatewayFixture world;
   world.AddPlainWorker("w1")->SetFault(WorkerFault::kSheds);
   TestNode* const node = world.AddNode("n1");
   const auto call = world.Ask(node, TestRequest{});
@@ -167,7 +167,7 @@
 }
 
 TEST_CASE("a stream arrives whole and in order") {
-  GatewayWorld world;
+  GatewayFixture world;
   world.AddModelWorker("w1", "m1");
   TestNode* const node = world.AddNode("n1");
   const auto call = world.Ask(node, StreamRequest("/once/x", "m1"));
@@ -176,9 +176,9 @@
 }
 
 TEST_CASE("a resumable stream continues at another worker with the head of the first") {
-  GatewayWorld world;
+  GatewayFixture world;
   TestNode* const node = world.AddNode("n1");
-  world.EarnRepeats(node, StreamRequest("/stream/x", "m1"));
+  world.EarnRetries(node, StreamRequest("/stream/x", "m1"));
   world.AddModelWorker("w1", "m1")->SetFault(WorkerFault::kBreaksStream);
   const auto call = world.Send(node, StreamRequest("/stream/x", "m1"));
   REQUIRE(world.Wait([&] { return !call->body.empty(); }));
@@ -192,7 +192,7 @@
 }
 
 TEST_CASE("a silent worker's stream is kept if no other worker could continue it") {
-  GatewayWorld world;
+  GatewayFixture world;
   emulator::PlatformWorkerOptions options;
   options.id = "w1";
   options.service = "models";
@@ -210,7 +210,7 @@
 }
 
 TEST_CASE("a stream that breaks off and may not be resumed does not look complete") {
-  GatewayWorld world;
+  GatewayFixture world;
   world.AddModelWorker("w1", "m1")->SetFault(WorkerFault::kBreaksStream);
   world.AddModelWorker("w2", "m1")->SetFault(WorkerFault::kBreaksStream);
   TestNode* const node = world.AddNode("n1");
@@ -220,7 +220,7 @@
 }
 
 TEST_CASE("a stream that has started gets no second answer when the retry budget is exhausted") {
-  GatewayWorld world;
+  GatewayFixture world;
   emulator::PlatformWorkerOptions options;
   options.id = "w1";
   options.service = "models";
@@ -263,7 +263,7 @@
 }
 
 TEST_CASE("an encoded body is never forwarded as the worker's answer") {
-  GatewayWorld world;
+  GatewayFixture world;
   world.AddPlainWorker("w1")->SetFault(WorkerFault::kEncodes);
   TestNode* const node = world.AddNode("n1");
   const auto call = world.Ask(node, TestRequest{});
@@ -272,7 +272,7 @@
 }
 
 TEST_CASE("metrics have an address of their own, and callers are served without it") {
-  GatewayWorld world;
+  GatewayFixture world;
   world.AddPlainWorker("w1");
   TestNode* const node = world.AddNode("n1", "127.0.0.1:0");
   TestCall call;
@@ -286,7 +286,7 @@
 }
 
 TEST_CASE("when the caller leaves, its worker's connection ends") {
-  GatewayWorld world;
+  GatewayFixture world;
   auto* const worker = world.AddPlainWorker("w1");
   worker->SetFault(WorkerFault::kSilent);
   TestNode* const node = world.AddNode("n1");
@@ -297,7 +297,7 @@
 }
 
 TEST_CASE("a running request gets its final answer at the route's timeout") {
-  GatewayWorld world;
+  GatewayFixture world;
   world.PutConfiguration(2, 200);
   world.AddPlainWorker("w1")->SetFault(WorkerFault::kSilent);
   TestNode* const node = world.AddNode("n1");
@@ -307,7 +307,7 @@
 }
 
 TEST_CASE("a cold model is loaded when it is asked for, and its request then served") {
-  GatewayWorld world;
+  GatewayFixture world;
   world.AddModelWorker("w1", "m1");
   TestNode* const node = world.AddNode("n1");
   const auto call = world.Ask(node, StreamRequest("/stream/x", "m2"));
@@ -320,7 +320,7 @@
 }
 
 TEST_CASE("a caller that won't wait for a cold model is told at once when to retry") {
-  GatewayWorld world;
+  GatewayFixture world;
   world.PutConfiguration(2, 20000, 4.0);
   emulator::PlatformWorkerOptions options;
   options.id = "w1";
@@ -343,7 +343,7 @@
 }
 
 TEST_CASE("all callers that wait for the same cold model are told, not only the first one") {
-  GatewayWorld world;
+  GatewayFixture world;
   world.PutConfiguration(2, 20000, 4.0);
   emulator::PlatformWorkerOptions options;
   options.id = "w1";
@@ -366,7 +366,7 @@
 }
 
 TEST_CASE("a caller whose answer would be late is asked to retry, and is served then") {
-  GatewayWorld world;
+  GatewayFixture world;
   // A load takes longer than the target latency, but less than callers wait for a first event.
   world.PutConfiguration(2, 20000, 1.0, 400);
   emulator::PlatformWorkerOptions options;
@@ -390,7 +390,7 @@
 }
 
 TEST_CASE("an adapter is loaded on demand") {
-  GatewayWorld world;
+  GatewayFixture world;
   world.AddModelWorker("w1", "m1");
   TestNode* const node = world.AddNode("n1");
   const auto call = world.Ask(node, StreamRequest("/stream/x", "m1/a2"));
@@ -398,7 +398,7 @@
 }
 
 TEST_CASE("only one of several nodes sends orders, and the others report their demand to it") {
-  GatewayWorld world;
+  GatewayFixture world;
   world.AddModelWorker("w1", "m1");
   world.AddNode("n1");
   world.AddNode("n2");
@@ -415,7 +415,7 @@
 }
 
 TEST_CASE("a lease holder stops using its fencing token once a worker has seen a higher one") {
-  GatewayWorld world;
+  GatewayFixture world;
   auto* const worker = world.AddModelWorker("w1", "m1");
   TestNode* const node = world.AddNode("n1");
   worker->SeeToken(1000000);
@@ -435,7 +435,7 @@
 }
 
 TEST_CASE("a new configuration is applied and an older one is never restored") {
-  GatewayWorld world;
+  GatewayFixture world;
   world.AddPlainWorker("w1");
   TestNode* const node = world.AddNode("n1");
   world.PutConfiguration(7);
@@ -447,7 +447,7 @@
 }
 
 TEST_CASE("changes arrive after the store has compacted its history") {
-  GatewayWorld world;
+  GatewayFixture world;
   world.AddPlainWorker("w1");
   TestNode* const node = world.AddNode("n1");
   world.store.Compact();
@@ -456,7 +456,7 @@
 }
 
 TEST_CASE("a draining worker gets no new requests") {
-  GatewayWorld world;
+  GatewayFixture world;
   auto* const leaving = world.AddPlainWorker("w1");
   world.AddPlainWorker("w2");
   TestNode* const node = world.AddNode("n1");
@@ -474,7 +474,7 @@
 }
 
 TEST_CASE("a stopping node ends running requests and answers waiting ones") {
-  GatewayWorld world;
+  GatewayFixture world;
   world.AddPlainWorker("w1")->SetFault(WorkerFault::kSilent);
   TestNode* const node = world.AddNode("n1");
   TestRequest request;
@@ -502,7 +502,7 @@
 // The stop's log lines distinguish an answer lost with the process from one that was sent and cut
 // off on its way to the caller.
 TEST_CASE("the log lines of a stop say why it ended and what was unsent by then") {
-  GatewayWorld world;
+  GatewayFixture world;
   world.AddPlainWorker("w1")->SetFault(WorkerFault::kSilent);
   TestNode* const node = world.AddNode("n1");
   TestRequest request;
--- a/tests/serving/gateway_world.cc
+++ b/tests/serving/gateway_world.cc
@@ -78,10 +78,12 @@
   return absl::StrSplit(text, '\n', absl::SkipEmpty());
 }
 
-GatewayWorld::GatewayWorld() : store(&loop), caller(&loop, ClientLimits{}) { PutConfiguration(1); }
+GatewayFixture::GatewayFixture() : store(&loop), caller(&loop, ClientLimits{}) {
+  PutConfiguration(1);
+}
 
-void GatewayWorld::PutConfiguration(int version, int timeout_ms, double load_seconds,
-                                    int target_ms) {
+void GatewayFixture::PutConfiguration(int version, int timeout_ms, double load_seconds,
+                                      int target_ms) {
   const auto route = [&](const char* prefix, const char* kind, const char* service, int attempts,
                          bool resumable) {
     return RouteJson(prefix, kind, service, timeout_ms, attempts, resumable, target_ms);
@@ -109,20 +111,20 @@
   store.Put("op", "config", configuration.dump());
 }
 
-emulator::PlatformWorker* GatewayWorld::AddWorker(emulator::PlatformWorkerOptions options) {
+emulator::PlatformWorker* GatewayFixture::AddWorker(emulator::PlatformWorkerOptions options) {
   workers.push_back(std::make_unique<emulator::PlatformWorker>(&loop, &store, std::move(options)));
   return workers.back().get();
 }
 
-emulator::PlatformWorker* GatewayWorld::AddPlainWorker(const std::string& id) {
+emulator::PlatformWorker* GatewayFixture::AddPlainWorker(const std::string& id) {
   emulator::PlatformWorkerOptions options;
   options.id = id;
   options.service = "plain";
   return AddWorker(std::move(options));
 }
 
-emulator::PlatformWorker* GatewayWorld::AddModelWorker(const std::string& id,
-                                                       const std::string& model) {
+emulator::PlatformWorker* GatewayFixture::AddModelWorker(const std::string& id,
+                                                         const std::string& model) {
   emulator::PlatformWorkerOptions options;
   options.id = id;
   options.service = "models";
@@ -132,7 +134,7 @@
   return AddWorker(std::move(options));
 }
 
-TestNode* GatewayWorld::AddNode(const std::string& name, const std::string& metrics_address) {
+TestNode* GatewayFixture::AddNode(const std::string& name, const std::string& metrics_address) {
   nodes.push_back(std::make_unique<TestNode>(&loop, name, store.address(), metrics_address));
   TestNode* const node = nodes.back().get();
   REQUIRE(!node->gateway.Start());
@@ -144,7 +146,7 @@
   return node;
 }
 
-void GatewayWorld::EarnRepeats(TestNode* node, TestRequest request) {
+void GatewayFixture::EarnRetries(TestNode* node, TestRequest request) {
   constexpr int kRequests = 30;
   request.deadline_ms = 100;
   std::vector<std::unique_ptr<TestCall>> calls;
@@ -157,7 +159,7 @@
   }));
 }
 
-std::unique_ptr<TestCall> GatewayWorld::Send(TestNode* node, const TestRequest& request) {
+std::unique_ptr<TestCall> GatewayFixture::Send(TestNode* node, const TestRequest& request) {
   auto call = std::make_unique<TestCall>();
   HeaderFields fields = {{"Attempt-Id", request.id},
                          {"Deadline-Ms", absl::StrCat(request.deadline_ms)}};
@@ -168,13 +170,13 @@
   return call;
 }
 
-std::unique_ptr<TestCall> GatewayWorld::Ask(TestNode* node, const TestRequest& request) {
+std::unique_ptr<TestCall> GatewayFixture::Ask(TestNode* node, const TestRequest& request) {
   std::unique_ptr<TestCall> call = Send(node, request);
   REQUIRE(Wait([&] { return call->ended; }));
   return call;
 }
 
-bool GatewayWorld::Wait(const std::function<bool()>& done) {
+bool GatewayFixture::Wait(const std::function<bool()>& done) {
   return loop.RunUntil(done, kWaitLimit);
 }
 
--- a/tests/serving/gateway_world.h
+++ b/tests/serving/gateway_world.h
@@ -75,9 +75,9 @@
 };
 
 // Not thread-safe. Starts with version 1 of the configuration, without workers or nodes.
-class GatewayWorld {
+class GatewayFixture {
  public:
-  GatewayWorld();
+  GatewayFixture();
 
   emulator::PlatformWorker* AddWorker(emulator::PlatformWorkerOptions options);
   emulator::PlatformWorker* AddPlainWorker(const std::string& id);
@@ -95,7 +95,7 @@
   // Sends a request and waits until its answer ends.
   std::unique_ptr<TestCall> Ask(TestNode* node, const TestRequest& request);
   // Sends enough of these requests to fill the retry budget. Call it before any worker exists.
-  void EarnRepeats(TestNode* node, TestRequest request);
+  void EarnRetries(TestNode* node, TestRequest request);
   bool Wait(const std::function<bool()>& done);
 
   EventLoop loop;
--- a/tests/serving/request_explanation_test.cc
+++ b/tests/serving/request_explanation_test.cc
@@ -23,7 +23,7 @@
   return request;
 }
 
-RequestExplanation Explain(const GatewayWorld& world, const std::string& id) {
+RequestExplanation Explain(const GatewayFixture& world, const std::string& id) {
   std::vector<std::string> lines;
   for (const auto& node : world.nodes) {
     const std::vector<std::string> of_node = node->LogLines();
@@ -34,7 +34,7 @@
 
 TEST_CASE(
     "refused although workers were free: no worker held the model, and which load was ordered") {
-  GatewayWorld world;
+  GatewayFixture world;
   world.PutConfiguration(2, 20000, 4.0);
   emulator::PlatformWorkerOptions options;
   options.id = "w1";
@@ -55,7 +55,7 @@
 }
 
 TEST_CASE("broken off midway: names the worker and that the route allowed no other one") {
-  GatewayWorld world;
+  GatewayFixture world;
   world.AddModelWorker("w1", "m1")->SetFault(WorkerFault::kBreaksStream);
   TestNode* const node = world.AddNode("n1");
   const auto call = world.Ask(node, StreamRequest("/once/x", "broken-1", "m1"));
@@ -67,7 +67,7 @@
 }
 
 TEST_CASE("late because of a cold model: names the wait and the load it waited for") {
-  GatewayWorld world;
+  GatewayFixture world;
   emulator::PlatformWorkerOptions options;
   options.id = "w1";
   options.service = "models";
@@ -84,7 +84,7 @@
 }
 
 TEST_CASE("refused without a route: names the node and its configuration version") {
-  GatewayWorld world;
+  GatewayFixture world;
   world.PutConfiguration(7);
   TestNode* const node = world.AddNode("n1");
   TestRequest request;
--- a/tests/serving/table_copy_test.cc
+++ b/tests/serving/table_copy_test.cc
@@ -18,9 +18,9 @@
 
 TEST_CASE("changes after a version include removals, also those implied by a later snapshot") {
   TableCopy copy("t", nullptr);
-  copy.TakeSnapshot({{Row("a", "1", 3), Row("b", "1", 4)}, 5}, kNow);
-  copy.TakeChanges({{Row("a", "", 6, true)}, 6}, kNow);
-  copy.TakeSnapshot({{Row("c", "1", 8)}, 9}, kNow);
+  copy.ApplySnapshot({{Row("a", "1", 3), Row("b", "1", 4)}, 5}, kNow);
+  copy.ApplyChanges({{Row("a", "", 6, true)}, 6}, kNow);
+  copy.ApplySnapshot({{Row("c", "1", 8)}, 9}, kNow);
   const auto changes = copy.ChangesAfter(5);
   REQUIRE(changes.has_value());
   std::map<std::string, bool> removed;
@@ -34,7 +34,7 @@
 TEST_CASE("a copy reports no changes from before its first snapshot") {
   TableCopy copy("t", nullptr);
   CHECK(!copy.ChangesAfter(1).has_value());
-  copy.TakeSnapshot({{Row("a", "1", 3)}, 5}, kNow);
+  copy.ApplySnapshot({{Row("a", "1", 3)}, 5}, kNow);
   CHECK(!copy.ChangesAfter(4).has_value());
   CHECK(copy.ChangesAfter(5).has_value());
 }
@@ -43,10 +43,10 @@
   TableCopy copy("t", [](const StoreRow& left, const StoreRow& right) {
     return left.value.substr(0, 1) == right.value.substr(0, 1);
   });
-  copy.TakeSnapshot({{Row("a", "x1", 3)}, 5}, kNow);
-  copy.TakeChanges({{Row("a", "x2", 6)}, 6}, kNow);
+  copy.ApplySnapshot({{Row("a", "x1", 3)}, 5}, kNow);
+  copy.ApplyChanges({{Row("a", "x2", 6)}, 6}, kNow);
   CHECK(!copy.HasChangesAfter(5));
-  copy.TakeChanges({{Row("a", "y2", 7)}, 7}, kNow);
+  copy.ApplyChanges({{Row("a", "y2", 7)}, 7}, kNow);
   CHECK(copy.HasChangesAfter(5));
 }
 
@@ -55,7 +55,7 @@
     std::map<std::string, StoreRow> store;
     std::uint64_t version = 1;
     TableCopy copy("t", nullptr);
-    copy.TakeSnapshot({{}, version}, kNow);
+    copy.ApplySnapshot({{}, version}, kNow);
     std::uint64_t copied = version;
     std::map<std::string, StoreRow> follower;
     std::uint64_t followed = version;
@@ -73,7 +73,7 @@
             snapshot.rows.push_back(row);
           }
         }
-        copy.TakeSnapshot(snapshot, kNow);
+        copy.ApplySnapshot(snapshot, kNow);
         copied = version;
       } else {
         StoreRows changes{{}, version};
@@ -82,7 +82,7 @@
             changes.rows.push_back(row);
           }
         }
-        copy.TakeChanges(changes, kNow);
+        copy.ApplyChanges(changes, kNow);
         copied = version;
         const auto told = copy.ChangesAfter(followed);
         RC_ASSERT(told.has_value());
--- a/tests/stop/gateway_stop_limit_test.cc
+++ b/tests/stop/gateway_stop_limit_test.cc
@@ -24,14 +24,14 @@
 const absl::Duration kStallEnds = kTestStopTime - absl::Milliseconds(240);
 
 struct SeparateNode {
-  explicit SeparateNode(GatewayWorld* world) : node(&loop, "n1", world->store.address()) {}
+  explicit SeparateNode(GatewayFixture* world) : node(&loop, "n1", world->store.address()) {}
 
   EventLoop loop;
   TestNode node;
 };
 
 // Runs both loops by turns.
-bool WaitBoth(GatewayWorld* world, SeparateNode* node, const std::function<bool()>& done) {
+bool WaitBoth(GatewayFixture* world, SeparateNode* node, const std::function<bool()>& done) {
   const absl::Time end = world->loop.Now() + kLimit;
   while (!done()) {
     if (world->loop.Now() >= end) {
@@ -82,7 +82,7 @@
   }
   static bool IsEnded(const std::unique_ptr<TestCall>& call) { return call->ended; }
 
-  GatewayWorld world;
+  GatewayFixture world;
   std::vector<emulator::PlatformWorker*> workers;
   std::unique_ptr<SeparateNode> node;
   std::vector<std::unique_ptr<TestCall>> calls;
--- a/tests/stop/gateway_stop_test.cc
+++ b/tests/stop/gateway_stop_test.cc
@@ -21,7 +21,7 @@
 
 // A node on its own loop; store, workers and callers are on the world's.
 struct SeparateNode {
-  explicit SeparateNode(GatewayWorld* world)
+  explicit SeparateNode(GatewayFixture* world)
       : node(&loop, "n1", world->store.address(), "", kStopTime) {}
 
   EventLoop loop;
@@ -29,7 +29,7 @@
 };
 
 // Runs both loops by turns.
-bool WaitBoth(GatewayWorld* world, SeparateNode* node, const std::function<bool()>& done) {
+bool WaitBoth(GatewayFixture* world, SeparateNode* node, const std::function<bool()>& done) {
   const absl::Time end = world->loop.Now() + kLimit;
   while (!done()) {
     if (world->loop.Now() >= end) {
@@ -52,7 +52,7 @@
 // Guards against a stop that takes a stream as answered when its end was handed to the connection,
 // and ends the process before it has left.
 TEST_CASE("a stream that ends just before a stop's check arrives whole") {
-  GatewayWorld world;
+  GatewayFixture world;
   emulator::PlatformWorkerOptions options;
   options.id = "w1";
   options.service = "models";
