--- a/include/hingespan/serving/decision_log.h
+++ b/include/hingespan/serving/decision_log.h
@@ -43,7 +43,7 @@
  private:
   struct Bucket {
     double tokens = 0;
-    absl::Time filled;
+    absl::Time last_refill;
     std::uint64_t left_out = 0;
   };
   bool Admit(absl::string_view event, std::uint64_t* left_out_before);
--- a/include/hingespan/serving/event_splitter.h
+++ b/include/hingespan/serving/event_splitter.h
@@ -17,7 +17,7 @@
   // Returns and clears the bytes that were held back, e.g. when the stream ended normally.
   std::string TakeRest();
   // Discards the bytes that were held back, for a stream that is resumed at another worker.
-  void DropRest() { held_.clear(); }
+  void DropRest() { pending_.clear(); }
   // Id of the last complete event; empty if there is none yet.
   const std::string& last_event_id() const { return last_event_id_; }
   bool any_event() const { return any_event_; }
@@ -25,7 +25,7 @@
  private:
   void ReadIds(absl::string_view events);
 
-  std::string held_;
+  std::string pending_;
   std::string last_event_id_;
   bool any_event_ = false;
 };
--- a/include/hingespan/serving/fleet_share.h
+++ b/include/hingespan/serving/fleet_share.h
@@ -20,7 +20,7 @@
 
   // A node has no share for this long after its row was first seen, and a node whose row was
   // removed is still counted for this long: until every older read has expired.
-  absl::Duration Settling() const { return confirmed + oldest_copy; }
+  absl::Duration SettlingTime() const { return confirmed + oldest_copy; }
 };
 
 // If two nodes hold a share at the same time, each counts the other.
@@ -32,11 +32,11 @@
 
   // Sets the nodes that have a row in the fleet table, as returned by a read that was started at
   // `read_started`.
-  void SetNodes(const std::vector<std::string>& nodes, absl::Time asked, absl::Time now);
+  void SetNodes(const std::vector<std::string>& nodes, absl::Time read_started, absl::Time now);
   // Number of nodes by which the limit is divided; 0 if this node has no share now.
   int Divisor(absl::Time now) const;
   // Number of nodes that may hold a share.
-  int Counted(absl::Time now) const;
+  int CountedNodes(absl::Time now) const;
 
  private:
   std::string node_;
--- a/include/hingespan/serving/gateway.h
+++ b/include/hingespan/serving/gateway.h
@@ -66,13 +66,13 @@
 
   void Enqueue(const QueuePlace& place, std::shared_ptr<RequestRelay> request) override;
   void Dequeue(const QueuePlace& place) override;
-  void PumpSoon() override;
+  void ScheduleDispatch() override;
   void RunningChanged(const std::string& service, const ModelKey& model, int change) override;
   absl::Time ExpectedReady(const ModelKey& model) const override;
-  void ToldToReturn(const std::string& service, const ModelKey& model, absl::Time at) override;
+  void ExpectReturn(const std::string& service, const ModelKey& model, absl::Time at) override;
   absl::Time StopLimit() const override;
-  void Begun(std::shared_ptr<RequestRelay> request) override;
-  void Ended(std::uint64_t number) override;
+  void OnRequestStarted(std::shared_ptr<RequestRelay> request) override;
+  void OnRequestEnded(std::uint64_t number) override;
 
  private:
   struct DemandCounts {
@@ -84,10 +84,10 @@
   void OnRequest(const std::shared_ptr<ServerExchange>& exchange);
   void OnStatusRequest(const std::shared_ptr<ServerExchange>& exchange);
   void OnMetricsRequest(const std::shared_ptr<ServerExchange>& exchange);
-  void Pump();
-  void TakeConfiguration(const StoreRow& row);
-  void TakeWorkerRow(const StoreRow& row);
-  void TakeWorkerSnapshot(const StoreRows& rows);
+  void DispatchWaiting();
+  void ApplyConfiguration(const StoreRow& row);
+  void ApplyWorkerRow(const StoreRow& row);
+  void ApplyWorkerSnapshot(const StoreRows& rows);
   void FillReport(DemandReport* report);
   void CheckStopped();
   void LogStop(absl::string_view event, std::string why);
@@ -119,11 +119,11 @@
   std::vector<ReturningCaller> returning_;
   std::shared_ptr<const RouteTable> routes_;
   std::unique_ptr<LoopTimer> stop_timer_;
-  std::unique_ptr<LoopTimer> pump_timer_;
-  std::function<void()> stopped_;
+  std::unique_ptr<LoopTimer> dispatch_timer_;
+  std::function<void()> on_stopped_;
   std::uint64_t next_number_ = 0;
   bool workers_known_ = false;
-  bool pump_scheduled_ = false;
+  bool dispatch_scheduled_ = false;
   bool stopping_ = false;
   absl::Time stop_began_;
 };
--- a/include/hingespan/serving/request_relay.h
+++ b/include/hingespan/serving/request_relay.h
@@ -37,18 +37,18 @@
   virtual void Dequeue(const QueuePlace& place) = 0;
   // Schedules another attempt to dispatch waiting requests, as a worker may have room again.
   // Nothing is dispatched within this call.
-  virtual void PumpSoon() = 0;
+  virtual void ScheduleDispatch() = 0;
   virtual void RunningChanged(const std::string& service, const ModelKey& model, int change) = 0;
   // Time at which a replica is expected to be ready; InfiniteFuture if nothing is known.
   virtual absl::Time ExpectedReady(const ModelKey& model) const = 0;
   // Called when a caller was refused and asked to retry at `at`; there is still demand for the
   // model.
-  virtual void ToldToReturn(const std::string& service, const ModelKey& model, absl::Time at) = 0;
+  virtual void ExpectReturn(const std::string& service, const ModelKey& model, absl::Time at) = 0;
   // Time by which this node must have answered all requests; InfiniteFuture unless it is stopping.
   virtual absl::Time StopLimit() const = 0;
   // The host keeps a request alive from Start until it ends.
-  virtual void Begun(std::shared_ptr<RequestRelay> request) = 0;
-  virtual void Ended(std::uint64_t number) = 0;
+  virtual void OnRequestStarted(std::shared_ptr<RequestRelay> request) = 0;
+  virtual void OnRequestEnded(std::uint64_t number) = 0;
 };
 
 // Objects shared by all requests of a node.
@@ -82,7 +82,7 @@
   // Records that another request with the same demand found no worker for this reason.
   void NoteProblem(ChoiceProblem problem);
   // Called when the expected readiness of a replica has changed.
-  void OnNews() {
+  void OnExpectedReadyChanged() {
     if (state_ == State::kWaiting) {
       SetTimer(context_->loop->Now());
     }
@@ -98,7 +98,7 @@
   int prompt_tokens() const { return facts_.prompt_tokens; }
   bool waiting() const { return state_ == State::kWaiting; }
   // True before the first attempt. Such requests with an equal demand wait for the same workers.
-  bool first_attempt() const { return tried_.empty(); }
+  bool first_attempt() const { return tried_workers_.empty(); }
 
   bool OnHead(const AnswerHead& head) override;
   void OnBody(absl::string_view piece) override;
@@ -115,7 +115,7 @@
   absl::Time Deadline() const;
   absl::Time WaitLimit() const;
   // Time for which the caller waits for the first event of a stream.
-  absl::Duration Patience() const;
+  absl::Duration FirstEventTimeout() const;
   // Returns whether the request should be held until its model is ready, instead of asking the
   // caller to retry then.
   bool MayWaitFor(absl::Time expected, absl::Time latest) const;
@@ -125,7 +125,7 @@
   bool AnotherWorkerIsFree(absl::Time now) const;
   bool MayTryAnother(absl::Time now) const;
   // Like MayTryAnother; also records a retry that the budget denies.
-  bool TakesAnother(absl::Time now) const;
+  bool MayTryAnotherOrRecordDenial(absl::Time now) const;
   void LogRepeat(absl::string_view event, absl::Time now) const;
   void EndAttempt(AttemptOutcome outcome);
   void OnNotExecuted();
@@ -158,7 +158,7 @@
   State state_ = State::kWaiting;
 
   // Workers to which the request was sent.
-  std::set<std::string> tried_;
+  std::set<std::string> tried_workers_;
   int attempts_ = 0;
   bool may_have_run_ = false;
   ChoiceProblem last_problem_ = ChoiceProblem::kNone;
@@ -170,10 +170,10 @@
   absl::Time attempt_started_;
   absl::Time last_progress_;
   absl::Time stall_checked_ = absl::InfinitePast();
-  bool attempt_began_ = false;
+  bool answer_started_ = false;
   AnswerHead answer_head_;
   AnswerFacts answer_facts_;
-  bool passing_events_ = false;
+  bool forwarding_events_ = false;
   std::string answer_body_;
   EventSplitter events_;
   // True once the head of a stream was sent to the caller.
--- a/include/hingespan/serving/retry_budget.h
+++ b/include/hingespan/serving/retry_budget.h
@@ -45,11 +45,11 @@
 
   // Sets the nodes that have a row in the fleet table, as returned by a read that was started at
   // `read_started`.
-  void SetNodes(const std::vector<std::string>& nodes, absl::Time asked, absl::Time now);
+  void SetNodes(const std::vector<std::string>& nodes, absl::Time read_started, absl::Time now);
   const FleetShare& share() const { return share_; }
   void RecordRequest(const std::string& service, absl::Time now);
   // Takes the token for one retry. Returns false and counts a denial if there is none.
-  bool TryTake(const std::string& service, absl::Time now);
+  bool TryAcquire(const std::string& service, absl::Time now);
   // Counts a retry that was not sent because the budget was exhausted.
   void RecordDenied(const std::string& service);
   // Number of retries that may be sent now.
@@ -63,24 +63,24 @@
  private:
   struct Counts {
     double tokens = 0;
-    absl::Time filled = absl::InfinitePast();
+    absl::Time last_refill = absl::InfinitePast();
     std::deque<absl::Time> repeats;
     std::uint64_t sent = 0;
     std::uint64_t denied = 0;
   };
-  Counts& Pruned(const std::string& service, absl::Time now);
+  Counts& PrunedCounts(const std::string& service, absl::Time now);
   // This node's share of `extra`; 0 if it has none now.
-  double Part(absl::Time now) const;
+  double NodeExtra(absl::Time now) const;
   // Capacity of a bucket for a node's share of `extra`.
-  static double Capacity(double part);
-  void Fill(Counts* counts, absl::Time now) const;
+  static double Capacity(double node_extra);
+  void Refill(Counts* counts, absl::Time now) const;
 
   RetryBudgetLimits limits_;
   FleetShare share_;
   // As of the last read of the fleet table: this node's share of `extra`, and its size once this
   // node has a share.
-  double part_ = 0;
-  double expected_part_ = 0;
+  double node_extra_ = 0;
+  double expected_node_extra_ = 0;
   absl::Time started_;
   absl::flat_hash_map<std::string, Counts> counts_;
 };
--- a/include/hingespan/serving/table_follower.h
+++ b/include/hingespan/serving/table_follower.h
@@ -32,7 +32,7 @@
     std::function<void(const StoreRows&)> on_snapshot;
     std::function<void(const StoreRows&)> on_changes;
     // Called when the store begins or stops answering.
-    std::function<void(bool in_touch)> on_contact;
+    std::function<void(bool connected)> on_connection_change;
   };
 
   TableFollower(EventLoop* loop, SharedStore* store, TableFollowerSettings settings,
@@ -41,14 +41,14 @@
   void Start();
   // Reads a new snapshot instead of continuing with changes.
   void Resynchronize() { version_known_ = false; }
-  bool in_touch() const { return in_touch_; }
+  bool connected() const { return connected_; }
 
  private:
   void ReadAll();
-  void WatchOn();
+  void WatchChanges();
   void Next();
   void Retry();
-  void Contact(bool in_touch);
+  void SetConnected(bool connected);
 
   EventLoop* loop_;
   SharedStore* store_;
@@ -60,8 +60,8 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   std::uint64_t version_ = 0;
   bool version_known_ = false;
-  bool in_touch_ = false;
-  bool contact_known_ = false;
+  bool connected_ = false;
+  bool connection_known_ = false;
   int failures_ = 0;
 };
 
--- a/include/hingespan/serving/worker_directory.h
+++ b/include/hingespan/serving/worker_directory.h
@@ -116,7 +116,7 @@
   bool kept_prompts = true;
   bool own_zone = true;
   // Avoids workers whose attempts failed at this node.
-  bool judge = true;
+  bool avoid_failing = true;
 };
 
 // Does no I/O; not thread-safe.
@@ -140,8 +140,8 @@
                       absl::Time now);
   // Bookkeeping for an attempt; its worker may already have been removed.
   void AttemptStarted(WorkerState* worker, const WorkerDemand& demand, absl::Time now);
-  void AttemptBegan(const std::string& worker_id, double unread_tokens, absl::Duration latency,
-                    absl::Time now);
+  void AnswerStarted(const std::string& worker_id, double unread_tokens, absl::Duration latency,
+                     absl::Time now);
   void AttemptEnded(const std::string& worker_id, const std::string& model, double unread_tokens,
                     AttemptOutcome outcome, absl::Time now);
   void NoteReplica(const std::string& worker_id, const ModelKey& key, bool present,
--- a/src/serving/decision_log.cc
+++ b/src/serving/decision_log.cc
@@ -33,9 +33,9 @@
     entry = buckets_.emplace(std::string(event), Bucket{limits_.burst, now, 0}).first;
   }
   Bucket& bucket = entry->second;
-  const double elapsed = absl::ToDoubleSeconds(now - bucket.filled);
+  const double elapsed = absl::ToDoubleSeconds(now - bucket.last_refill);
   bucket.tokens = std::min(limits_.burst, bucket.tokens + elapsed * limits_.lines_per_second);
-  bucket.filled = now;
+  bucket.last_refill = now;
   if (bucket.tokens < 1.0) {
     ++bucket.left_out;
     ++left_out_;
--- a/src/serving/event_splitter.cc
+++ b/src/serving/event_splitter.cc
@@ -10,19 +10,19 @@
 namespace {
 
 constexpr absl::string_view kEventEnd = "\n\n";
-constexpr absl::string_view kEventEndWithReturns = "\r\n\r\n";
+constexpr absl::string_view kEventEndCrLf = "\r\n\r\n";
 constexpr absl::string_view kIdField = "id:";
 
 // Length of the longest prefix of `text` that ends with a complete event; 0 if there is none.
-std::size_t WholeEventsLength(absl::string_view text) {
+std::size_t CompleteEventsLength(absl::string_view text) {
   std::size_t length = 0;
-  const std::size_t plain = text.rfind(kEventEnd);
-  if (plain != absl::string_view::npos) {
-    length = plain + kEventEnd.size();
+  const std::size_t lf = text.rfind(kEventEnd);
+  if (lf != absl::string_view::npos) {
+    length = lf + kEventEnd.size();
   }
-  const std::size_t returns = text.rfind(kEventEndWithReturns);
-  if (returns != absl::string_view::npos) {
-    length = std::max(length, returns + kEventEndWithReturns.size());
+  const std::size_t crlf = text.rfind(kEventEndCrLf);
+  if (crlf != absl::string_view::npos) {
+    length = std::max(length, crlf + kEventEndCrLf.size());
   }
   return length;
 }
@@ -30,13 +30,13 @@
 }  // namespace
 
 std::string EventSplitter::Feed(absl::string_view piece) {
-  held_.append(piece.data(), piece.size());
-  const std::size_t length = WholeEventsLength(held_);
+  pending_.append(piece.data(), piece.size());
+  const std::size_t length = CompleteEventsLength(pending_);
   if (length == 0) {
     return {};
   }
-  std::string events = held_.substr(0, length);
-  held_.erase(0, length);
+  std::string events = pending_.substr(0, length);
+  pending_.erase(0, length);
   any_event_ = true;
   ReadIds(events);
   return events;
@@ -44,7 +44,7 @@
 
 std::string EventSplitter::TakeRest() {
   std::string rest;
-  rest.swap(held_);
+  rest.swap(pending_);
   return rest;
 }
 
--- a/src/serving/fleet_share.cc
+++ b/src/serving/fleet_share.cc
@@ -4,10 +4,11 @@
 
 namespace hingespan::gateway {
 
-void FleetShare::SetNodes(const std::vector<std::string>& nodes, absl::Time asked, absl::Time now) {
+void FleetShare::SetNodes(const std::vector<std::string>& nodes, absl::Time read_started,
+                          absl::Time now) {
   for (auto& [name, until] : counted_until_) {
     if (until == absl::InfiniteFuture()) {
-      until = now + times_.Settling();
+      until = now + times_.SettlingTime();
     }
   }
   for (const std::string& name : nodes) {
@@ -20,17 +21,17 @@
     return;
   }
   joined_ = std::min(joined_, now);
-  confirmed_ = asked;
+  confirmed_ = read_started;
 }
 
 int FleetShare::Divisor(absl::Time now) const {
-  if (now - confirmed_ > times_.confirmed || now < joined_ + times_.Settling()) {
+  if (now - confirmed_ > times_.confirmed || now < joined_ + times_.SettlingTime()) {
     return 0;
   }
-  return Counted(now);
+  return CountedNodes(now);
 }
 
-int FleetShare::Counted(absl::Time now) const {
+int FleetShare::CountedNodes(absl::Time now) const {
   return static_cast<int>(std::count_if(counted_until_.begin(), counted_until_.end(),
                                         [&](const auto& entry) { return entry.second > now; }));
 }
--- a/src/serving/gateway.cc
+++ b/src/serving/gateway.cc
@@ -12,15 +12,15 @@
 
 // Time after the request to stop during which new requests are still accepted: the platform checks
 // readiness twice, one second apart, before it sends requests to other nodes.
-constexpr absl::Duration kTakesAfterStop = absl::Milliseconds(2500);
-constexpr absl::Duration kLeastStopTime = absl::Milliseconds(3000);
+constexpr absl::Duration kAcceptAfterStop = absl::Milliseconds(2500);
+constexpr absl::Duration kMinStopTime = absl::Milliseconds(3000);
 // Time between the end of a stop and the moment at which the process would be killed.
 constexpr absl::Duration kStopMargin = absl::Milliseconds(250);
 // Requests in flight are answered this long before the end of a stop.
-constexpr absl::Duration kAnswerBeforeStop = absl::Milliseconds(150);
-constexpr absl::Duration kStopCheck = absl::Milliseconds(50);
+constexpr absl::Duration kFinalAnswerMargin = absl::Milliseconds(150);
+constexpr absl::Duration kStopCheckInterval = absl::Milliseconds(50);
 // Interval at which waiting requests are tried again even if nothing is known to have changed.
-constexpr absl::Duration kPumpAgain = absl::Milliseconds(60);
+constexpr absl::Duration kDispatchInterval = absl::Milliseconds(60);
 
 // Workers write often; the pause lets one read return several changes.
 constexpr absl::Duration kWorkerChangesPause = absl::Milliseconds(120);
@@ -48,7 +48,7 @@
   return fleet;
 }
 
-ChoicePolicy WorkerPreferences(const ServingPolicy& serving) {
+ChoicePolicy MakeChoicePolicy(const ServingPolicy& serving) {
   return {serving.prefer_kept_prompts, serving.prefer_own_zone, serving.judge_workers};
 }
 
@@ -66,7 +66,7 @@
 Gateway::Gateway(GatewaySettings settings, GatewayParts parts)
     : settings_(std::move(settings)),
       parts_(parts),
-      workers_(settings_.node, settings_.zone, WorkerPreferences(settings_.serving)),
+      workers_(settings_.node, settings_.zone, MakeChoicePolicy(settings_.serving)),
       budget_({settings_.retry_ratio, settings_.retry_extra, settings_.retry_window},
               FleetShare(settings_.node), parts_.loop->Now()),
       requests_(parts_.loop,
@@ -80,7 +80,7 @@
       peers_(parts_.loop, [this](absl::string_view bytes) { fleet_->OnDatagram(bytes); }),
       reading_(parts_.loop, parts_.store, parts_.client, parts_.log, ReadingSettings(settings_)),
       stop_timer_(parts_.loop->MakeTimer()),
-      pump_timer_(parts_.loop->MakeTimer()) {
+      dispatch_timer_(parts_.loop->MakeTimer()) {
   context_ = {parts_.loop,    parts_.dialect, parts_.client,
               &workers_,      &budget_,       parts_.log,
               parts_.metrics, this,           settings_.serving.return_when_late};
@@ -136,52 +136,52 @@
   fleet_parts.fill_report = [this](DemandReport* report) { FillReport(report); };
   fleet_parts.on_news = [this] {
     for (const std::shared_ptr<RequestRelay>& request : queue_.InOrder()) {
-      request->OnNews();
+      request->OnExpectedReadyChanged();
     }
-    PumpSoon();
+    ScheduleDispatch();
   };
   fleet_parts.reads_store = [this] { return reading_.reads_itself(); };
   fleet_parts.reads_for_others = [this] { return reading_.reads_for_others(); };
-  fleet_parts.on_nodes = [this](const std::vector<FleetNode>& nodes, absl::Time asked) {
+  fleet_parts.on_nodes = [this](const std::vector<FleetNode>& nodes, absl::Time read_started) {
     reading_.SetNodes(nodes);
     std::vector<std::string> names;
     names.reserve(nodes.size());
     for (const FleetNode& node : nodes) {
       names.push_back(node.name);
     }
-    budget_.SetNodes(names, asked, parts_.loop->Now());
+    budget_.SetNodes(names, read_started, parts_.loop->Now());
   };
   const std::uint64_t seed = fleet.incarnation;
   fleet_ = std::make_unique<FleetCoordinator>(std::move(fleet), std::move(fleet_parts));
-  const auto contact = [this](const char* table) {
-    return [this, table](bool in_touch) {
-      parts_.log->Write(in_touch ? LogLevel::kInfo : LogLevel::kWarning,
-                        in_touch ? "store_regained" : "store_lost", {{"table", table}});
+  const auto log_connection_change = [this](const char* table) {
+    return [this, table](bool connected) {
+      parts_.log->Write(connected ? LogLevel::kInfo : LogLevel::kWarning,
+                        connected ? "store_regained" : "store_lost", {{"table", table}});
     };
   };
   TableFollower::Callbacks configuration;
   configuration.on_snapshot = [this](const StoreRows& rows) {
     for (const StoreRow& row : rows.rows) {
-      TakeConfiguration(row);
+      ApplyConfiguration(row);
     }
   };
   configuration.on_changes = configuration.on_snapshot;
-  configuration.on_contact = contact("configuration");
+  configuration.on_connection_change = log_connection_change("configuration");
   configuration_follower_ = std::make_unique<TableFollower>(
       parts_.loop, &reading_, TableFollowerSettings{parts_.reader->configuration_table()}, seed,
       std::move(configuration));
   TableFollowerSettings worker_settings{parts_.reader->worker_table()};
   worker_settings.pause = kWorkerChangesPause;
   TableFollower::Callbacks workers;
-  workers.on_snapshot = [this](const StoreRows& rows) { TakeWorkerSnapshot(rows); };
+  workers.on_snapshot = [this](const StoreRows& rows) { ApplyWorkerSnapshot(rows); };
   workers.on_changes = [this](const StoreRows& rows) {
     for (const StoreRow& row : rows.rows) {
-      TakeWorkerRow(row);
+      ApplyWorkerRow(row);
     }
     fleet_->WorkersChanged();
-    PumpSoon();
+    ScheduleDispatch();
   };
-  workers.on_contact = contact("workers");
+  workers.on_connection_change = log_connection_change("workers");
   worker_follower_ = std::make_unique<TableFollower>(parts_.loop, &reading_, worker_settings,
                                                      seed + 1, std::move(workers));
   configuration_follower_->Start();
@@ -190,7 +190,7 @@
   return {};
 }
 
-int Gateway::fleet_size() { return budget_.share().Counted(parts_.loop->Now()); }
+int Gateway::fleet_size() { return budget_.share().CountedNodes(parts_.loop->Now()); }
 
 bool Gateway::ready() const { return routes_ != nullptr && workers_known_ && !stopping_; }
 
@@ -212,7 +212,7 @@
     refuse(503, "no_configuration_yet");
     return;
   }
-  if (stopping_ && parts_.loop->Now() - stop_began_ > kTakesAfterStop) {
+  if (stopping_ && parts_.loop->Now() - stop_began_ > kAcceptAfterStop) {
     refuse(503, "stopping");
     return;
   }
@@ -263,31 +263,31 @@
   }
   const absl::Time now = parts_.loop->Now();
   // Dispatch at once if no other request waits that might take precedence.
-  const bool nobody_waits = queue_.empty();
+  const bool queue_was_empty = queue_.empty();
   queue_.Add(place, request);
-  if (nobody_waits && request->TryDispatch(now)) {
+  if (queue_was_empty && request->TryDispatch(now)) {
     return;
   }
   if (!request->model().model.empty()) {
     fleet_->DemandWaits();
   }
-  PumpSoon();
+  ScheduleDispatch();
 }
 
 void Gateway::Dequeue(const QueuePlace& place) { queue_.Remove(place); }
 
-void Gateway::PumpSoon() {
-  if (pump_scheduled_ || queue_.empty()) {
+void Gateway::ScheduleDispatch() {
+  if (dispatch_scheduled_ || queue_.empty()) {
     return;
   }
-  pump_scheduled_ = true;
+  dispatch_scheduled_ = true;
   parts_.loop->Post([this] {
-    pump_scheduled_ = false;
-    Pump();
+    dispatch_scheduled_ = false;
+    DispatchWaiting();
   });
 }
 
-void Gateway::Pump() {
+void Gateway::DispatchWaiting() {
   const absl::Time now = parts_.loop->Now();
   // First attempts for the same model wait for the same workers, so one choice decides for all.
   std::map<std::pair<std::string, ModelKey>, ChoiceProblem> blocked;
@@ -306,7 +306,7 @@
     }
   }
   if (!queue_.empty()) {
-    pump_timer_->Set(now + kPumpAgain, [this] { PumpSoon(); });
+    dispatch_timer_->Set(now + kDispatchInterval, [this] { ScheduleDispatch(); });
   }
 }
 
@@ -326,15 +326,15 @@
   if (!stopping_) {
     return absl::InfiniteFuture();
   }
-  return stop_began_ + settings_.stop_time - kStopMargin - kAnswerBeforeStop;
+  return stop_began_ + settings_.stop_time - kStopMargin - kFinalAnswerMargin;
 }
 
-void Gateway::Begun(std::shared_ptr<RequestRelay> request) {
+void Gateway::OnRequestStarted(std::shared_ptr<RequestRelay> request) {
   const std::uint64_t number = request->number();
   open_requests_[number] = std::move(request);
 }
 
-void Gateway::Ended(std::uint64_t number) { open_requests_.erase(number); }
+void Gateway::OnRequestEnded(std::uint64_t number) { open_requests_.erase(number); }
 
 void Gateway::Stop(std::function<void()> done) {
   if (stopping_) {
@@ -342,7 +342,7 @@
   }
   stopping_ = true;
   stop_began_ = parts_.loop->Now();
-  stopped_ = std::move(done);
+  on_stopped_ = std::move(done);
   requests_.AskToClose();
   fleet_->Stop();
   for (const auto& [number, request] : open_requests_) {
@@ -362,13 +362,13 @@
       request->OnStopLimit();
     }
   }
-  const bool idle = now - stop_began_ >= kLeastStopTime && requests_.activity().unfinished() == 0;
+  const bool idle = now - stop_began_ >= kMinStopTime && requests_.activity().unfinished() == 0;
   if (idle || now - stop_began_ >= settings_.stop_time - kStopMargin) {
     LogStop("stopped", idle ? "idle" : "limit");
-    stopped_();
+    on_stopped_();
     return;
   }
-  stop_timer_->Set(now + kStopCheck, [this] { CheckStopped(); });
+  stop_timer_->Set(now + kStopCheckInterval, [this] { CheckStopped(); });
 }
 
 void Gateway::LogStop(absl::string_view event, std::string why) {
--- a/src/serving/gateway_demand.cc
+++ b/src/serving/gateway_demand.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-void Gateway::ToldToReturn(const std::string& service, const ModelKey& model, absl::Time at) {
+void Gateway::ExpectReturn(const std::string& service, const ModelKey& model, absl::Time at) {
   if (settings_.serving.count_returning && !model.model.empty()) {
     returning_.push_back({{service, model}, at + kReturnSlack});
     fleet_->DemandWaits();
--- a/src/serving/gateway_records.cc
+++ b/src/serving/gateway_records.cc
@@ -9,7 +9,7 @@
 
 namespace hingespan::gateway {
 
-void Gateway::TakeConfiguration(const StoreRow& row) {
+void Gateway::ApplyConfiguration(const StoreRow& row) {
   if (row.removed || row.key != parts_.reader->configuration_key()) {
     return;
   }
@@ -37,10 +37,10 @@
                     {{"version", absl::StrCat(configuration->version)},
                      {"row_version", absl::StrCat(row.version)},
                      {"routes", absl::StrCat(configuration->routes.size())}});
-  PumpSoon();
+  ScheduleDispatch();
 }
 
-void Gateway::TakeWorkerRow(const StoreRow& row) {
+void Gateway::ApplyWorkerRow(const StoreRow& row) {
   if (row.removed) {
     if (workers_.Remove(row.key, row.version)) {
       parts_.log->Write(LogLevel::kInfo, "worker_gone",
@@ -66,16 +66,16 @@
   }
 }
 
-void Gateway::TakeWorkerSnapshot(const StoreRows& rows) {
+void Gateway::ApplyWorkerSnapshot(const StoreRows& rows) {
   std::set<std::string> present;
   for (const StoreRow& row : rows.rows) {
     present.insert(row.key);
-    TakeWorkerRow(row);
+    ApplyWorkerRow(row);
   }
   workers_.RetainOnly(present, rows.version);
   workers_known_ = true;
   fleet_->WorkersChanged();
-  PumpSoon();
+  ScheduleDispatch();
 }
 
 }  // namespace hingespan::gateway
--- a/src/serving/gateway_settings.cc
+++ b/src/serving/gateway_settings.cc
@@ -52,11 +52,11 @@
   return false;
 }
 
-Setter Number(double least, double most, const std::function<void(double)>& store) {
+Setter Number(double minimum, double maximum, const std::function<void(double)>& store) {
   return [=](const TomlValue& value) -> std::string {
     double number = 0;
-    if (!ReadNumber(value, &number) || number < least || number > most) {
-      return absl::StrCat("a number from ", least, " to ", most);
+    if (!ReadNumber(value, &number) || number < minimum || number > maximum) {
+      return absl::StrCat("a number from ", minimum, " to ", maximum);
     }
     store(number);
     return {};
@@ -90,8 +90,8 @@
   };
 }
 
-Setter Amount(double most, double* target) {
-  return Number(0, most, [target](double value) { *target = value; });
+Setter Amount(double maximum, double* target) {
+  return Number(0, maximum, [target](double value) { *target = value; });
 }
 
 // Setters for the decision policies in [policy].
--- a/src/serving/request_relay.cc
+++ b/src/serving/request_relay.cc
@@ -14,36 +14,36 @@
 constexpr absl::Duration kDefaultDeadline = absl::Seconds(30);
 // Fraction of a request's time for which it is queued without an expected replica. A later refusal
 // would leave the caller too little time to be served elsewhere.
-constexpr double kHeldPart = 0.47;
+constexpr double kMaxQueuedFraction = 0.47;
 // Minimum time that a request must have left when it is sent, so that it can still be answered in
 // time.
-constexpr absl::Duration kLeastTimeForStream = absl::Milliseconds(900);
-constexpr absl::Duration kLeastTimeForPlain = absl::Milliseconds(50);
+constexpr absl::Duration kMinTimeLeftForStream = absl::Milliseconds(900);
+constexpr absl::Duration kMinTimeLeftForPlain = absl::Milliseconds(50);
 // A worker that stays silent for this fraction of the time left is abandoned if the route allows
 // it.
-constexpr double kSilentPart = 0.4;
-constexpr absl::Duration kLeastSilence = absl::Milliseconds(300);
-constexpr absl::Duration kLeastStreamSilence = absl::Milliseconds(1300);
-constexpr absl::Duration kStallCheck = absl::Milliseconds(250);
-constexpr absl::Duration kStreamGapLimit = absl::Milliseconds(1200);
+constexpr double kStallFraction = 0.4;
+constexpr absl::Duration kMinStallTimeout = absl::Milliseconds(300);
+constexpr absl::Duration kMinFirstEventStallTimeout = absl::Milliseconds(1300);
+constexpr absl::Duration kStallCheckInterval = absl::Milliseconds(250);
+constexpr absl::Duration kMinStreamGapTimeout = absl::Milliseconds(1200);
 // Requests are answered this long before their deadline.
 constexpr absl::Duration kDeadlineMargin = absl::Milliseconds(10);
 // Callers abandon a stream without an event after this time or a multiple of the route's targets,
 // whichever is longer.
-constexpr absl::Duration kLeastPatience = absl::Seconds(2);
+constexpr absl::Duration kMinFirstEventTimeout = absl::Seconds(2);
 // A model that is expected within this fraction of the target latency leaves enough time for the
 // first event.
-constexpr double kInTimePart = 0.85;
+constexpr double kReadyInTimeFraction = 0.85;
 // A refusal within this fraction of the target latency costs the caller little.
-constexpr double kPromptRefusalPart = 0.25;
+constexpr double kEarlyRefusalFraction = 0.25;
 // Callers honour a Retry-After of up to a certain part of the time that they have left. This
 // fraction is smaller than that part, since the expected readiness is only an estimate.
-constexpr double kHonouredWaitPart = 0.3;
+constexpr double kMaxRetryAfterFraction = 0.3;
 // Reading from the worker pauses while more bytes than this wait for a slow caller.
 constexpr std::size_t kMaxPendingBytes = 256 * 1024;
 // A request that still waits this long before its node's stop limit is refused, so that another
 // node can serve it.
-constexpr absl::Duration kWaitBeforeStop = absl::Seconds(1);
+constexpr absl::Duration kQueueStopMargin = absl::Seconds(1);
 
 absl::string_view ProblemName(ChoiceProblem problem) {
   switch (problem) {
@@ -81,7 +81,7 @@
 }
 
 void RequestRelay::Start() {
-  context_->host->Begun(shared_from_this());
+  context_->host->OnRequestStarted(shared_from_this());
   exchange_->OnCallerGone([weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
       self->OnCallerGone();
@@ -111,7 +111,7 @@
   demand.prompt_parts = &facts_.prompt_parts;
   demand.prompt_tokens = facts_.prompt_tokens;
   demand.output_tokens = facts_.max_output_tokens;
-  demand.excluded = &tried_;
+  demand.excluded = &tried_workers_;
   return demand;
 }
 
@@ -125,7 +125,7 @@
     NoteProblem(choice.problem);
     return false;
   }
-  if (attempts_ > 0 && !context_->budget->TryTake(service_, now)) {
+  if (attempts_ > 0 && !context_->budget->TryAcquire(service_, now)) {
     ++context_->metrics->repeats_denied;
     LogRepeat("repeat_denied", now);
     GiveUp(502, "retry_budget");
@@ -157,11 +157,11 @@
   ++attempts_;
   ++context_->metrics->attempts;
   worker_id_ = worker->record.id;
-  tried_.insert(worker_id_);
+  tried_workers_.insert(worker_id_);
   attempt_started_ = now;
   last_progress_ = now;
-  attempt_began_ = false;
-  passing_events_ = false;
+  answer_started_ = false;
+  forwarding_events_ = false;
   answer_body_.clear();
   events_.DropRest();
   context_->workers->AttemptStarted(worker, demand, now);
@@ -191,54 +191,55 @@
 
 absl::Time RequestRelay::WaitLimit() const {
   const bool stream = route_->kind == RouteKind::kStreaming;
-  const absl::Time latest = deadline_ - std::min(stream ? kLeastTimeForStream : kLeastTimeForPlain,
-                                                 (deadline_ - arrived_) * 0.25);
-  absl::Time limit = arrived_ + (deadline_ - arrived_) * kHeldPart;
-  const absl::Time patience = arrived_ + Patience();
+  const absl::Time latest =
+      deadline_ - std::min(stream ? kMinTimeLeftForStream : kMinTimeLeftForPlain,
+                           (deadline_ - arrived_) * 0.25);
+  absl::Time limit = arrived_ + (deadline_ - arrived_) * kMaxQueuedFraction;
+  const absl::Time first_event_limit = arrived_ + FirstEventTimeout();
   const absl::Time expected = context_->host->ExpectedReady(model_);
   if (last_problem_ == ChoiceProblem::kModelAbsent && expected != absl::InfiniteFuture()) {
-    limit = MayWaitFor(expected, std::min(latest, patience)) ? latest : arrived_;
+    limit = MayWaitFor(expected, std::min(latest, first_event_limit)) ? latest : arrived_;
   }
-  limit = std::min(limit, patience - kDeadlineMargin);
+  limit = std::min(limit, first_event_limit - kDeadlineMargin);
   const absl::Time stop = context_->host->StopLimit();
   if (stop != absl::InfiniteFuture()) {
-    limit = std::min(limit, stop - kWaitBeforeStop);
+    limit = std::min(limit, stop - kQueueStopMargin);
   }
   return std::min(limit, latest);
 }
 
 bool RequestRelay::MayWaitFor(absl::Time expected, absl::Time latest) const {
-  if (expected <= arrived_ + route_->target_latency * kInTimePart) {
+  if (expected <= arrived_ + route_->target_latency * kReadyInTimeFraction) {
     return true;
   }
   // The answer would be late. If the caller is asked at once to retry when the model is ready, the
   // retry can still be in time.
   const absl::Time now = context_->loop->Now();
-  const bool soon = now - arrived_ <= route_->target_latency * kPromptRefusalPart;
-  const bool comes_back = expected - now <= (deadline_ - now) * kHonouredWaitPart;
-  if (context_->return_when_late && soon && comes_back) {
+  const bool refused_early = now - arrived_ <= route_->target_latency * kEarlyRefusalFraction;
+  const bool retry_in_time = expected - now <= (deadline_ - now) * kMaxRetryAfterFraction;
+  if (context_->return_when_late && refused_early && retry_in_time) {
     return false;
   }
   return expected < latest;
 }
 
-absl::Duration RequestRelay::Patience() const {
+absl::Duration RequestRelay::FirstEventTimeout() const {
   if (route_->kind != RouteKind::kStreaming) {
     return absl::InfiniteDuration();
   }
-  return std::max({kLeastPatience, 4 * route_->target_latency, 8 * route_->target_gap});
+  return std::max({kMinFirstEventTimeout, 4 * route_->target_latency, 8 * route_->target_gap});
 }
 
 bool RequestRelay::MayTryAnother(absl::Time now) const {
-  return static_cast<int>(tried_.size()) < route_->max_attempts &&
+  return static_cast<int>(tried_workers_.size()) < route_->max_attempts &&
          context_->budget->Available(service_, now) >= 1.0 && now < deadline_;
 }
 
-bool RequestRelay::TakesAnother(absl::Time now) const {
+bool RequestRelay::MayTryAnotherOrRecordDenial(absl::Time now) const {
   if (MayTryAnother(now)) {
     return true;
   }
-  if (static_cast<int>(tried_.size()) < route_->max_attempts && now < deadline_) {
+  if (static_cast<int>(tried_workers_.size()) < route_->max_attempts && now < deadline_) {
     context_->budget->RecordDenied(service_);
     ++context_->metrics->repeats_denied;
     LogRepeat("repeat_denied", now);
@@ -262,7 +263,7 @@
 }
 
 absl::Time RequestRelay::StallLimit() const {
-  return std::max(FirstStallLimit(), stall_checked_ + kStallCheck);
+  return std::max(FirstStallLimit(), stall_checked_ + kStallCheckInterval);
 }
 
 absl::Time RequestRelay::FirstStallLimit() const {
@@ -270,12 +271,13 @@
     return absl::InfiniteFuture();
   }
   if (route_->kind != RouteKind::kStreaming) {
-    return attempt_started_ + std::max(kLeastSilence, (deadline_ - attempt_started_) * kSilentPart);
+    return attempt_started_ +
+           std::max(kMinStallTimeout, (deadline_ - attempt_started_) * kStallFraction);
   }
-  if (attempt_began_) {
-    return last_progress_ + std::max(kStreamGapLimit, 4 * route_->target_gap);
+  if (answer_started_) {
+    return last_progress_ + std::max(kMinStreamGapTimeout, 4 * route_->target_gap);
   }
-  return attempt_started_ + std::max(kLeastStreamSilence, 2 * route_->target_latency);
+  return attempt_started_ + std::max(kMinFirstEventStallTimeout, 2 * route_->target_latency);
 }
 
 void RequestRelay::SetTimer(absl::Time now) {
@@ -334,10 +336,10 @@
 void RequestRelay::EndAttempt(AttemptOutcome outcome) {
   upstream_.reset();
   context_->workers->AttemptEnded(worker_id_, model_.model,
-                                  attempt_began_ ? 0 : facts_.prompt_tokens, outcome,
+                                  answer_started_ ? 0 : facts_.prompt_tokens, outcome,
                                   context_->loop->Now());
   context_->host->RunningChanged(service_, model_, -1);
-  context_->host->PumpSoon();
+  context_->host->ScheduleDispatch();
 }
 
 }  // namespace hingespan::gateway
--- a/src/serving/request_relay_answers.cc
+++ b/src/serving/request_relay_answers.cc
@@ -12,11 +12,11 @@
 
 constexpr absl::Duration kDefaultRetryAfter = absl::Milliseconds(200);
 // Margin after which a replica is certain to be usable once it was expected to be ready.
-constexpr absl::Duration kAfterExpected = absl::Milliseconds(150);
+constexpr absl::Duration kReadyMargin = absl::Milliseconds(150);
 // Reading from the worker pauses while more bytes than this wait for a slow caller.
 constexpr std::size_t kMaxPendingBytes = 256 * 1024;
 // Time for which a replica counts as absent after its worker reported that it doesn't hold it.
-constexpr absl::Duration kDeniedReplica = absl::Milliseconds(700);
+constexpr absl::Duration kDeniedReplicaLifetime = absl::Milliseconds(700);
 
 std::string Milliseconds(absl::Duration duration) {
   return absl::StrCat(absl::ToInt64Milliseconds(duration));
@@ -26,9 +26,9 @@
 
 bool RequestRelay::OnHead(const AnswerHead& head) {
   answer_facts_ = context_->dialect->ReadAnswer(head, worker_id_);
-  const bool own = answer_facts_.id == facts_.id;
-  const bool unnamed_refusal = answer_facts_.id.empty() && answer_facts_.not_executed;
-  if (!own && !unnamed_refusal) {
+  const bool same_id = answer_facts_.id == facts_.id;
+  const bool refusal_without_id = answer_facts_.id.empty() && answer_facts_.not_executed;
+  if (!same_id && !refusal_without_id) {
     return false;  // This is the answer to another request.
   }
   const bool success = head.status / 100 == 2;
@@ -36,14 +36,14 @@
     return false;
   }
   answer_head_ = head;
-  passing_events_ = success && route_->kind == RouteKind::kStreaming;
+  forwarding_events_ = success && route_->kind == RouteKind::kStreaming;
   return true;
 }
 
 void RequestRelay::OnBody(absl::string_view piece) {
   const absl::Time now = context_->loop->Now();
   last_progress_ = now;
-  if (!passing_events_) {
+  if (!forwarding_events_) {
     answer_body_.append(piece.data(), piece.size());
     return;
   }
@@ -55,9 +55,9 @@
     return;
   }
   const absl::Time now = context_->loop->Now();
-  if (!attempt_began_) {
-    attempt_began_ = true;
-    context_->workers->AttemptBegan(worker_id_, facts_.prompt_tokens, now - attempt_started_, now);
+  if (!answer_started_) {
+    answer_started_ = true;
+    context_->workers->AnswerStarted(worker_id_, facts_.prompt_tokens, now - attempt_started_, now);
     SetTimer(now);
   }
   if (!stream_started_) {
@@ -86,7 +86,7 @@
       EndAttempt(AttemptOutcome::kUnreachable);
       // The worker has not received the request. It may go to another worker within the retry
       // budget, and this worker doesn't count towards the route's limit of attempts.
-      tried_.erase(worker_id_);
+      tried_workers_.erase(worker_id_);
       last_failure_ = "unreachable";
       BeginWaiting();
       return;
@@ -107,7 +107,7 @@
     return;
   }
   const absl::Time now = context_->loop->Now();
-  if (passing_events_) {
+  if (forwarding_events_) {
     ForwardEvents(events_.TakeRest());
     EndAttempt(AttemptOutcome::kServed);
     if (!stream_started_) {
@@ -119,9 +119,9 @@
     Finish(answer_head_.status, "served");
     return;
   }
-  if (!attempt_began_) {
-    attempt_began_ = true;
-    context_->workers->AttemptBegan(worker_id_, facts_.prompt_tokens, now - attempt_started_, now);
+  if (!answer_started_) {
+    answer_started_ = true;
+    context_->workers->AnswerStarted(worker_id_, facts_.prompt_tokens, now - attempt_started_, now);
   }
   const bool failed = answer_head_.status >= 500;
   EndAttempt(failed ? AttemptOutcome::kFailed : AttemptOutcome::kServed);
@@ -129,7 +129,7 @@
     OnFailedAttempt("refused_to_resume");
     return;
   }
-  if (failed && route_->MayRunAgain() && TakesAnother(now)) {
+  if (failed && route_->MayRunAgain() && MayTryAnotherOrRecordDenial(now)) {
     OnFailedAttempt(absl::StrCat("status_", answer_head_.status));
     return;
   }
@@ -150,10 +150,10 @@
   if (answer_facts_.from_other_worker) {
     context_->workers->MarkEnded(worker_id_);
   } else if (misdirected && !model_.model.empty()) {
-    context_->workers->NoteReplica(worker_id_, model_, false, now + kDeniedReplica);
+    context_->workers->NoteReplica(worker_id_, model_, false, now + kDeniedReplicaLifetime);
   }
   last_failure_ = misdirected ? "misdirected" : "worker_full";
-  if (stream_started_ || may_have_run_ || TakesAnother(now)) {
+  if (stream_started_ || may_have_run_ || MayTryAnotherOrRecordDenial(now)) {
     OnFailedAttempt(last_failure_);
     return;
   }
@@ -176,7 +176,7 @@
                         {"attempt", absl::StrCat(attempts_)},
                         {"after_ms", Milliseconds(now - attempt_started_)}});
   const bool may_repeat = !may_have_run_ || route_->MayRunAgain();
-  if (may_repeat && TakesAnother(now)) {
+  if (may_repeat && MayTryAnotherOrRecordDenial(now)) {
     if (stream_started_) {
       ++context_->metrics->streams_resumed;
     }
@@ -203,8 +203,8 @@
   absl::Duration retry_after = kDefaultRetryAfter;
   const absl::Time expected = context_->host->ExpectedReady(model_);
   if (expected != absl::InfiniteFuture()) {
-    retry_after = std::max(retry_after, expected - now + kAfterExpected);
-    context_->host->ToldToReturn(service_, model_, now + retry_after);
+    retry_after = std::max(retry_after, expected - now + kReadyMargin);
+    context_->host->ExpectReturn(service_, model_, now + retry_after);
   }
   ++context_->metrics->refusals[std::string(why)];
   exchange_->Answer(503, ReasonPhrase(503),
@@ -240,7 +240,7 @@
 
 void RequestRelay::Finish(int status, absl::string_view why) {
   const std::shared_ptr<RequestRelay> self = shared_from_this();
-  context_->host->Ended(place_.number);
+  context_->host->OnRequestEnded(place_.number);
   state_ = State::kEnded;
   timer_->Cancel();
   const absl::Time now = context_->loop->Now();
--- a/src/serving/retry_budget.cc
+++ b/src/serving/retry_budget.cc
@@ -7,7 +7,7 @@
 
 // Fraction of the budget that is used. The rest is a margin, as retries and requests are counted
 // here slightly earlier or later than by the users.
-constexpr double kUsedPart = 0.9;
+constexpr double kUsedFraction = 0.9;
 
 void DropBefore(std::deque<absl::Time>* times, absl::Time begin) {
   while (!times->empty() && times->front() < begin) {
@@ -17,55 +17,58 @@
 
 }  // namespace
 
-double RetryBudget::Part(absl::Time now) const {
+double RetryBudget::NodeExtra(absl::Time now) const {
   const int divisor = share_.Divisor(now);
-  return divisor == 0 ? 0 : kUsedPart * limits_.extra / divisor;
+  return divisor == 0 ? 0 : kUsedFraction * limits_.extra / divisor;
 }
 
 // Within a window, a node can send at most the tokens in its bucket at the start of the window plus
 // those earned within the window. The node's share is divided equally between the two, except that
 // the bucket holds one whole retry if the share does.
-double RetryBudget::Capacity(double part) { return std::min(part, std::max(1.0, part / 2)); }
+double RetryBudget::Capacity(double node_extra) {
+  return std::min(node_extra, std::max(1.0, node_extra / 2));
+}
 
-void RetryBudget::Fill(Counts* counts, absl::Time now) const {
-  const double part = std::min(part_, Part(now));
-  if (counts->filled != absl::InfinitePast()) {
-    counts->tokens +=
-        (part - Capacity(part)) * absl::FDivDuration(now - counts->filled, limits_.window);
+void RetryBudget::Refill(Counts* counts, absl::Time now) const {
+  const double node_extra = std::min(node_extra_, NodeExtra(now));
+  if (counts->last_refill != absl::InfinitePast()) {
+    counts->tokens += (node_extra - Capacity(node_extra)) *
+                      absl::FDivDuration(now - counts->last_refill, limits_.window);
   }
-  counts->tokens = std::min(counts->tokens, Capacity(expected_part_));
-  counts->filled = now;
+  counts->tokens = std::min(counts->tokens, Capacity(expected_node_extra_));
+  counts->last_refill = now;
 }
 
-void RetryBudget::SetNodes(const std::vector<std::string>& nodes, absl::Time asked,
+void RetryBudget::SetNodes(const std::vector<std::string>& nodes, absl::Time read_started,
                            absl::Time now) {
   for (auto& [service, counts] : counts_) {
-    Fill(&counts, now);
+    Refill(&counts, now);
   }
-  share_.SetNodes(nodes, asked, now);
-  part_ = Part(now);
-  expected_part_ =
-      kUsedPart * limits_.extra / static_cast<double>(std::max(1, share_.Counted(now)));
+  share_.SetNodes(nodes, read_started, now);
+  node_extra_ = NodeExtra(now);
+  expected_node_extra_ =
+      kUsedFraction * limits_.extra / static_cast<double>(std::max(1, share_.CountedNodes(now)));
 }
 
-RetryBudget::Counts& RetryBudget::Pruned(const std::string& service, absl::Time now) {
+RetryBudget::Counts& RetryBudget::PrunedCounts(const std::string& service, absl::Time now) {
   Counts& counts = counts_[service];
   DropBefore(&counts.repeats, now - limits_.window);
-  Fill(&counts, now);
+  Refill(&counts, now);
   return counts;
 }
 
 void RetryBudget::RecordRequest(const std::string& service, absl::Time now) {
-  Counts& counts = Pruned(service, now);
-  counts.tokens = std::min(counts.tokens + kUsedPart * limits_.ratio, Capacity(expected_part_));
+  Counts& counts = PrunedCounts(service, now);
+  counts.tokens =
+      std::min(counts.tokens + kUsedFraction * limits_.ratio, Capacity(expected_node_extra_));
 }
 
 double RetryBudget::Available(const std::string& service, absl::Time now) {
-  return Pruned(service, now).tokens;
+  return PrunedCounts(service, now).tokens;
 }
 
-bool RetryBudget::TryTake(const std::string& service, absl::Time now) {
-  Counts& counts = Pruned(service, now);
+bool RetryBudget::TryAcquire(const std::string& service, absl::Time now) {
+  Counts& counts = PrunedCounts(service, now);
   if (counts.tokens < 1.0) {
     RecordDenied(service);
     return false;
@@ -79,7 +82,7 @@
 void RetryBudget::RecordDenied(const std::string& service) { ++counts_[service].denied; }
 
 RetryCounts RetryBudget::CountsOf(const std::string& service, absl::Time now) {
-  const Counts& counts = Pruned(service, now);
+  const Counts& counts = PrunedCounts(service, now);
   return {counts.sent, counts.denied, counts.tokens, static_cast<int>(counts.repeats.size())};
 }
 
--- a/src/serving/table_follower.cc
+++ b/src/serving/table_follower.cc
@@ -20,20 +20,20 @@
 
 void TableFollower::Next() {
   if (version_known_) {
-    WatchOn();
+    WatchChanges();
   } else {
     ReadAll();
   }
 }
 
-void TableFollower::Contact(bool in_touch) {
-  if (contact_known_ && in_touch_ == in_touch) {
+void TableFollower::SetConnected(bool connected) {
+  if (connection_known_ && connected_ == connected) {
     return;
   }
-  contact_known_ = true;
-  in_touch_ = in_touch;
-  if (callbacks_.on_contact) {
-    callbacks_.on_contact(in_touch);
+  connection_known_ = true;
+  connected_ = connected;
+  if (callbacks_.on_connection_change) {
+    callbacks_.on_connection_change(connected);
   }
 }
 
@@ -48,7 +48,7 @@
       return;
     }
     failures_ = 0;
-    Contact(true);
+    SetConnected(true);
     version_ = result->version;
     version_known_ = true;
     callbacks_.on_snapshot(*result);
@@ -56,10 +56,10 @@
   });
 }
 
-void TableFollower::WatchOn() {
+void TableFollower::WatchChanges() {
   // A waiting call is lost when the store fails. While the store doesn't answer, calls return at
   // once, so that its recovery is noticed.
-  const absl::Duration wait = in_touch_ ? settings_.wait : absl::ZeroDuration();
+  const absl::Duration wait = connected_ ? settings_.wait : absl::ZeroDuration();
   store_->Watch(settings_.table, version_, wait, [this, alive = alive_](Result<StoreRows> result) {
     if (!*alive) {
       return;
@@ -74,7 +74,7 @@
       return;
     }
     failures_ = 0;
-    Contact(true);
+    SetConnected(true);
     version_ = std::max(version_, result->version);
     if (result->rows.empty()) {
       Next();
@@ -87,7 +87,7 @@
 
 void TableFollower::Retry() {
   ++failures_;
-  Contact(false);
+  SetConnected(false);
   const int doublings = std::min(failures_ - 1, 4);
   const absl::Duration longest =
       std::min(settings_.longest_retry, settings_.first_retry * (1 << doublings));
--- a/src/serving/worker_directory.cc
+++ b/src/serving/worker_directory.cc
@@ -19,27 +19,27 @@
 constexpr double kRunningCostMs = 4.0;
 // Additional cost of a worker in another zone, for network latency and priced traffic.
 constexpr double kOtherZoneCostMs = 12.0;
-constexpr double kPreferenceMsEachNode = 1.0;
-constexpr double kMostPreferenceMs = 60.0;
+constexpr double kPreferenceMsPerNode = 1.0;
+constexpr double kMaxPreferenceMs = 60.0;
 constexpr double kPlainServiceMs = 30.0;
 constexpr double kSuccessWeight = 0.12;
 constexpr double kLatencyWeight = 0.15;
 // Half-life of a worker's failures, after which it is tried again.
 constexpr absl::Duration kSuccessHalfLife = absl::Seconds(6);
-constexpr double kLeastSuccess = 0.08;
+constexpr double kMinSuccess = 0.08;
 constexpr absl::Duration kAvoidUnreachable = absl::Milliseconds(1000);
 constexpr absl::Duration kAvoidFull = absl::Milliseconds(60);
 constexpr absl::Duration kAvoidFailed = absl::Milliseconds(40);
 // The avoidance time doubles with each consecutive failure, up to this limit.
-constexpr absl::Duration kAvoidLongest = absl::Seconds(4);
-constexpr int kMostDoublings = 7;
+constexpr absl::Duration kMaxAvoidTime = absl::Seconds(4);
+constexpr int kMaxDoublings = 7;
 // Longer than a takeover of the placement lease, during which no node reports loads.
 constexpr absl::Duration kPeersLoadsLifetime = absl::Seconds(10);
 // Time for which a worker is assumed to keep a prompt part cached.
-constexpr absl::Duration kPromptPartMemory = absl::Seconds(20);
+constexpr absl::Duration kPromptPartLifetime = absl::Seconds(20);
 constexpr std::size_t kMaxPromptParts = 2000;
 // Fraction of a worker's token capacity that is used.
-constexpr double kTokenCapacityUsed = 0.9;
+constexpr double kUsableTokenFraction = 0.9;
 
 double RecoveredSuccess(const WorkerState& worker, absl::Time now) {
   if (worker.success_updated == absl::InfinitePast()) {
@@ -73,7 +73,7 @@
 }
 
 void WorkerDirectory::SetNodes(int nodes) {
-  preference_ms_ = std::min(kMostPreferenceMs, kPreferenceMsEachNode * (nodes - 1));
+  preference_ms_ = std::min(kMaxPreferenceMs, kPreferenceMsPerNode * (nodes - 1));
 }
 
 bool WorkerDirectory::Update(WorkerRecord record, std::uint64_t row_version, absl::Time now) {
@@ -163,16 +163,17 @@
   }
   const double each = demand.prompt_tokens + demand.output_tokens;
   return (running + 1) * each >
-         kTokenCapacityUsed * static_cast<double>(service->engine->token_capacity);
+         kUsableTokenFraction * static_cast<double>(service->engine->token_capacity);
 }
 
 double WorkerDirectory::Cost(const WorkerState& worker, const WorkerDemand& demand,
                              absl::Time now) const {
   const double success =
-      policy_.judge ? std::max(kLeastSuccess, RecoveredSuccess(worker, now)) : 1.0;
+      policy_.avoid_failing ? std::max(kMinSuccess, RecoveredSuccess(worker, now)) : 1.0;
   const double running = worker.running + worker.peers_running;
-  const bool near = !policy_.own_zone || worker.record.zone == zone_;
-  const double preference = (near ? 0.0 : kOtherZoneCostMs) + worker.preference * preference_ms_;
+  const bool same_zone = !policy_.own_zone || worker.record.zone == zone_;
+  const double preference =
+      (same_zone ? 0.0 : kOtherZoneCostMs) + worker.preference * preference_ms_;
   if (demand.model.model.empty()) {
     const double latency = worker.latency_ms > 0 ? worker.latency_ms : kPlainServiceMs;
     const double waiting = std::max(0.0, running + 1 - worker.record.slots);
@@ -183,7 +184,7 @@
   if (policy_.kept_prompts && demand.prompt_parts != nullptr) {
     for (const PromptPart& part : *demand.prompt_parts) {
       const auto kept = worker.prompt_parts.find(PromptPartKey(demand.model, part));
-      if (kept == worker.prompt_parts.end() || kept->second + kPromptPartMemory < now) {
+      if (kept == worker.prompt_parts.end() || kept->second + kPromptPartLifetime < now) {
         break;
       }
       unread -= part.tokens;
@@ -227,7 +228,7 @@
     if (IsFull(worker, demand, service)) {
       continue;
     }
-    const bool avoided = policy_.judge && worker.avoided_until > now;
+    const bool avoided = policy_.avoid_failing && worker.avoided_until > now;
     const double cost = Cost(worker, demand, now);
     if (choice.worker == nullptr || (best_avoided && !avoided) ||
         (best_avoided == avoided && cost < best)) {
@@ -265,8 +266,8 @@
   }
 }
 
-void WorkerDirectory::AttemptBegan(const std::string& worker_id, double unread_tokens,
-                                   absl::Duration latency, absl::Time) {
+void WorkerDirectory::AnswerStarted(const std::string& worker_id, double unread_tokens,
+                                    absl::Duration latency, absl::Time) {
   WorkerState* const worker = FindKnown(worker_id);
   if (worker == nullptr) {
     return;
@@ -308,8 +309,8 @@
     case AttemptOutcome::kCancelled:
       break;
     case AttemptOutcome::kFailed: {
-      const int doublings = std::min(worker->failures_in_row++, kMostDoublings);
-      const absl::Duration avoid = std::min(kAvoidLongest, kAvoidFailed * (1 << doublings));
+      const int doublings = std::min(worker->failures_in_row++, kMaxDoublings);
+      const absl::Duration avoid = std::min(kMaxAvoidTime, kAvoidFailed * (1 << doublings));
       worker->avoided_until = std::max(worker->avoided_until, now + avoid);
       break;
     }
--- a/tests/retry_budget/retry_budget_test.cc
+++ b/tests/retry_budget/retry_budget_test.cc
@@ -33,7 +33,7 @@
 
 absl::Time At(double seconds) { return absl::UnixEpoch() + absl::Seconds(1000 + seconds); }
 
-enum class EventKind { kKill, kStop, kBlind, kFailures, kMoveLoad };
+enum class EventKind { kKill, kStop, kReadOutage, kFailures, kMoveLoad };
 
 // Disturbance that affects `count` nodes, starting with `node`.
 struct Event {
@@ -64,21 +64,21 @@
 
 // Simulates nodes with a fleet table in virtual time. Requests arrive at a steady rate; while
 // workers fail, every node sends all retries that its budget allows.
-class FleetOfBudgets {
+class SimulatedFleet {
  public:
-  explicit FleetOfBudgets(unsigned seed) : random_(seed) {
+  explicit SimulatedFleet(unsigned seed) : random_(seed) {
     for (int node = 0; node < kNodes; ++node) {
       processes_.push_back(StartProcess(node));
     }
   }
 
-  void Play(std::vector<Event> events) {
+  void Run(std::vector<Event> events) {
     std::stable_sort(events.begin(), events.end(),
                      [](const Event& left, const Event& right) { return left.at < right.at; });
     auto next = events.begin();
     for (; now_ < kEnd; now_ += kStep) {
       for (; next != events.end() && next->at <= now_; ++next) {
-        Happen(*next);
+        ApplyEvent(*next);
       }
       Step();
     }
@@ -107,7 +107,7 @@
     RetryBudget budget;
     double ends = kNever;
     double next_read = 0;
-    double blind_until = 0;
+    double reads_fail_until = 0;
   };
 
   static std::string NameOf(int node) { return absl::StrCat("n", node); }
@@ -128,7 +128,7 @@
             0};
   }
 
-  void Happen(const Event& event) {
+  void ApplyEvent(const Event& event) {
     for (int number = 0; number < event.count; ++number) {
       const int node = (event.node + number) % kNodes;
       Process& process = processes_[node];
@@ -143,8 +143,8 @@
             tables_[now_] = table_;
           }
           break;
-        case EventKind::kBlind:
-          process.blind_until = now_ + event.seconds;
+        case EventKind::kReadOutage:
+          process.reads_fail_until = now_ + event.seconds;
           break;
         case EventKind::kFailures:
           failing_until_ = now_ + event.seconds;
@@ -162,7 +162,7 @@
       if (process.ends <= now_) {
         process = StartProcess(node);
       }
-      if (process.next_read <= now_ && process.blind_until <= now_) {
+      if (process.next_read <= now_ && process.reads_fail_until <= now_) {
         Read(&process);
       }
     }
@@ -176,7 +176,7 @@
     }
     if (now_ < failing_until_) {
       for (Process& process : processes_) {
-        while (process.budget.TryTake(kService, At(now_))) {
+        while (process.budget.TryAcquire(kService, At(now_))) {
           repeats_.push_back(now_);
         }
       }
@@ -186,8 +186,8 @@
   // Gives the process a slightly outdated copy of the table.
   void Read(Process* process) {
     process->next_read = now_ + Uniform(1, kLongestReadInterval);
-    const double of = std::max(0.0, now_ - Uniform(0, kOldestCopy));
-    const std::set<std::string>& copy = std::prev(tables_.upper_bound(of))->second;
+    const double copied_at = std::max(0.0, now_ - Uniform(0, kOldestCopy));
+    const std::set<std::string>& copy = std::prev(tables_.upper_bound(copied_at))->second;
     process->budget.SetNodes({copy.begin(), copy.end()}, At(now_), At(now_));
   }
 
@@ -207,8 +207,8 @@
 void CheckBudget(std::vector<EventKind> kinds) {
   kinds.push_back(EventKind::kFailures);
   const std::vector<Event> events = *EventsOf(kinds);
-  FleetOfBudgets fleet(*rc::gen::arbitrary<unsigned>());
-  fleet.Play(events);
+  SimulatedFleet fleet(*rc::gen::arbitrary<unsigned>());
+  fleet.Run(events);
   RC_ASSERT(fleet.WorstExcess() <= 0);
 }
 
@@ -226,7 +226,7 @@
 // Guards against a node that uses an outdated number of nodes, or none.
 TEST_CASE("a node that can't read the table does not use a share that others may use") {
   CHECK(rc::check("nodes can't read the table", [] {
-    CheckBudget({EventKind::kBlind, EventKind::kStop, EventKind::kKill});
+    CheckBudget({EventKind::kReadOutage, EventKind::kStop, EventKind::kKill});
   }));
 }
 
@@ -238,7 +238,7 @@
 // Guards against any combination of these failures.
 TEST_CASE("property: a fleet with failures stays within the budget in any window") {
   CHECK(rc::check("all together", [] {
-    CheckBudget({EventKind::kKill, EventKind::kStop, EventKind::kBlind, EventKind::kMoveLoad});
+    CheckBudget({EventKind::kKill, EventKind::kStop, EventKind::kReadOutage, EventKind::kMoveLoad});
   }));
 }
 
@@ -272,7 +272,7 @@
       if (*rc::gen::inRange(0, 3) == 0) {
         budget.RecordRequest("s", At(now));
         requests.push_back(now);
-      } else if (budget.TryTake("s", At(now))) {
+      } else if (budget.TryAcquire("s", At(now))) {
         repeats.push_back(now);
       }
     }
@@ -295,8 +295,8 @@
 
 // Guards against a budget that is met by sending no retries at all.
 TEST_CASE("an undisturbed fleet may send most of its budget") {
-  FleetOfBudgets fleet(1);
-  fleet.Play({{EventKind::kFailures, kUndisturbed, 0, 1, 10}});
+  SimulatedFleet fleet(1);
+  fleet.Run({{EventKind::kFailures, kUndisturbed, 0, 1, 10}});
   const double allowed = kLimits.ratio * kRequestsEachSecond * 10 + kLimits.extra;
   CHECK(fleet.repeats_after(kUndisturbed - kStep) >= 0.7 * allowed);
   CHECK(fleet.WorstExcess() <= 0);
--- a/tests/serving/parts_test.cc
+++ b/tests/serving/parts_test.cc
@@ -246,7 +246,7 @@
   // Both workers are fast, so that the cost of the other zone exceeds the cost of one failure.
   for (const char* const id : {"w1", "w2"}) {
     workers.AttemptStarted(workers.Find(id), demand, At(0));
-    workers.AttemptBegan(id, 0, absl::Milliseconds(1), At(0));
+    workers.AnswerStarted(id, 0, absl::Milliseconds(1), At(0));
     workers.AttemptEnded(id, "", 0, AttemptOutcome::kServed, At(0));
   }
   int failed = 0;
@@ -254,11 +254,11 @@
   for (int number = 0; number < kChoices; ++number) {
     const absl::Time now = At(0.01 * number);
     WorkerState* const worker = workers.Choose(demand, configuration, now).worker;
-    const bool near = worker->record.id == "w1";
-    failed += near ? 1 : 0;
+    const bool same_zone = worker->record.id == "w1";
+    failed += same_zone ? 1 : 0;
     workers.AttemptStarted(worker, demand, now);
     workers.AttemptEnded(worker->record.id, "", 0,
-                         near ? AttemptOutcome::kFailed : AttemptOutcome::kServed, now);
+                         same_zone ? AttemptOutcome::kFailed : AttemptOutcome::kServed, now);
   }
   CHECK(failed < kChoices / 50);
   // A served request makes the worker eligible again.
--- a/tests/serving/request_explanation_test.cc
+++ b/tests/serving/request_explanation_test.cc
@@ -23,31 +23,31 @@
   return request;
 }
 
-RequestExplanation Explain(const GatewayFixture& world, const std::string& id) {
+RequestExplanation Explain(const GatewayFixture& fixture, const std::string& id) {
   std::vector<std::string> lines;
-  for (const auto& node : world.nodes) {
-    const std::vector<std::string> of_node = node->LogLines();
-    lines.insert(lines.end(), of_node.begin(), of_node.end());
+  for (const auto& node : fixture.nodes) {
+    const std::vector<std::string> node_lines = node->LogLines();
+    lines.insert(lines.end(), node_lines.begin(), node_lines.end());
   }
   return ExplainRequest(lines, id);
 }
 
 TEST_CASE(
     "refused although workers were free: no worker held the model, and which load was ordered") {
-  GatewayFixture world;
-  world.PutConfiguration(2, 20000, 4.0);
+  GatewayFixture fixture;
+  fixture.PutConfiguration(2, 20000, 4.0);
   emulator::PlatformWorkerOptions options;
   options.id = "w1";
   options.service = "models";
   options.load_time = absl::Seconds(60);
-  world.AddWorker(options);
+  fixture.AddWorker(options);
   // The refusing node is not the one that sends orders.
-  world.AddNode("n1");
-  TestNode* const other = world.AddNode("n2");
+  fixture.AddNode("n1");
+  TestNode* const other = fixture.AddNode("n2");
   TestRequest request = StreamRequest("/stream/x", "refused-1", "m2");
   request.deadline_ms = 15000;
-  REQUIRE(world.Ask(other, request)->head.status == 503);
-  const RequestExplanation explanation = Explain(world, "refused-1");
+  REQUIRE(fixture.Ask(other, request)->head.status == 503);
+  const RequestExplanation explanation = Explain(fixture, "refused-1");
   CHECK(explanation.found);
   CAPTURE(explanation.cause);
   CHECK(absl::StrContains(explanation.cause, "no worker held model m2"));
@@ -55,28 +55,28 @@
 }
 
 TEST_CASE("broken off midway: names the worker and that the route allowed no other one") {
-  GatewayFixture world;
-  world.AddModelWorker("w1", "m1")->SetFault(WorkerFault::kBreaksStream);
-  TestNode* const node = world.AddNode("n1");
-  const auto call = world.Ask(node, StreamRequest("/once/x", "broken-1", "m1"));
+  GatewayFixture fixture;
+  fixture.AddModelWorker("w1", "m1")->SetFault(WorkerFault::kBreaksStream);
+  TestNode* const node = fixture.AddNode("n1");
+  const auto call = fixture.Ask(node, StreamRequest("/once/x", "broken-1", "m1"));
   REQUIRE(call->result == ExchangeResult::kBroken);
-  const RequestExplanation explanation = Explain(world, "broken-1");
+  const RequestExplanation explanation = Explain(fixture, "broken-1");
   CAPTURE(explanation.cause);
   CHECK(absl::StrContains(explanation.cause, "broken off: worker w1 (broken_off)"));
   CHECK(explanation.lines.size() >= 2);
 }
 
 TEST_CASE("late because of a cold model: names the wait and the load it waited for") {
-  GatewayFixture world;
+  GatewayFixture fixture;
   emulator::PlatformWorkerOptions options;
   options.id = "w1";
   options.service = "models";
   options.load_time = absl::Milliseconds(800);
-  world.AddWorker(options);
-  TestNode* const node = world.AddNode("n1");
-  const auto call = world.Ask(node, StreamRequest("/stream/x", "late-1", "m2"));
+  fixture.AddWorker(options);
+  TestNode* const node = fixture.AddNode("n1");
+  const auto call = fixture.Ask(node, StreamRequest("/stream/x", "late-1", "m2"));
   REQUIRE(call->head.status == 200);
-  const RequestExplanation explanation = Explain(world, "late-1");
+  const RequestExplanation explanation = Explain(fixture, "late-1");
   CAPTURE(explanation.cause);
   CHECK(absl::StrContains(explanation.cause, "served late: it waited"));
   CHECK(absl::StrContains(explanation.cause, "for a replica of m2"));
@@ -84,14 +84,14 @@
 }
 
 TEST_CASE("refused without a route: names the node and its configuration version") {
-  GatewayFixture world;
-  world.PutConfiguration(7);
-  TestNode* const node = world.AddNode("n1");
+  GatewayFixture fixture;
+  fixture.PutConfiguration(7);
+  TestNode* const node = fixture.AddNode("n1");
   TestRequest request;
   request.id = "astray-1";
   request.target = "/nowhere/";
-  REQUIRE(world.Ask(node, request)->head.status == 404);
-  const RequestExplanation explanation = Explain(world, "astray-1");
+  REQUIRE(fixture.Ask(node, request)->head.status == 404);
+  const RequestExplanation explanation = Explain(fixture, "astray-1");
   CHECK(explanation.found);
   CHECK(explanation.cause ==
         "404: version 7 of the configuration, in force at n1, has no route for it");
--- a/tests/serving/table_copy_test.cc
+++ b/tests/serving/table_copy_test.cc
@@ -62,11 +62,11 @@
     const int steps = *rc::gen::inRange(1, 60);
     for (int step = 0; step <= steps; ++step) {
       const std::string key = *rc::gen::element<std::string>("a", "b", "c");
-      const int what = step == steps ? 3 : *rc::gen::inRange(0, 5);
-      if (what <= 1) {
+      const int action = step == steps ? 3 : *rc::gen::inRange(0, 5);
+      if (action <= 1) {
         ++version;
-        store[key] = Row(key, std::to_string(version), version, what == 1);
-      } else if (what == 2) {
+        store[key] = Row(key, std::to_string(version), version, action == 1);
+      } else if (action == 2) {
         StoreRows snapshot{{}, version};
         for (const auto& [name, row] : store) {
           if (!row.removed) {
@@ -84,12 +84,12 @@
         }
         copy.ApplyChanges(changes, kNow);
         copied = version;
-        const auto told = copy.ChangesAfter(followed);
-        RC_ASSERT(told.has_value());
-        for (const StoreRow& row : told->rows) {
+        const auto reported = copy.ChangesAfter(followed);
+        RC_ASSERT(reported.has_value());
+        for (const StoreRow& row : reported->rows) {
           follower[row.key] = row;
         }
-        followed = told->version;
+        followed = reported->version;
       }
     }
     for (const auto& [key, row] : store) {
--- a/tests/serving/table_follower_test.cc
+++ b/tests/serving/table_follower_test.cc
@@ -10,34 +10,34 @@
 namespace {
 
 // Store that holds each call until the test answers it.
-class HeldStore : public SharedStore {
+class ManualStore : public SharedStore {
  public:
-  struct Held {
+  struct PendingCall {
     bool watch = false;
     std::uint64_t after = 0;
     absl::Duration wait;
     RowsCallback callback;
   };
   void Read(const std::string&, RowsCallback callback) override {
-    held.push_back({false, 0, absl::ZeroDuration(), std::move(callback)});
+    pending.push_back({false, 0, absl::ZeroDuration(), std::move(callback)});
   }
   void Watch(const std::string&, std::uint64_t after, absl::Duration wait,
              RowsCallback callback) override {
-    held.push_back({true, after, wait, std::move(callback)});
+    pending.push_back({true, after, wait, std::move(callback)});
   }
   void Commit(std::vector<RowCondition>, std::vector<RowWrite>, CommitCallback) override {}
 
   void Answer(Result<StoreRows> result) {
-    const RowsCallback callback = std::move(held.back().callback);
-    held.pop_back();
+    const RowsCallback callback = std::move(pending.back().callback);
+    pending.pop_back();
     callback(std::move(result));
   }
-  std::vector<Held> held;
+  std::vector<PendingCall> pending;
 };
 
 struct Fixture {
   EventLoop loop;
-  HeldStore store;
+  ManualStore store;
   int snapshots = 0;
   int changes = 0;
   TableFollowerSettings settings{"t"};
@@ -49,7 +49,7 @@
                           [this](const StoreRows&) { ++changes; }, nullptr}};
 
   bool WaitForCall() {
-    return loop.RunUntil([this] { return !store.held.empty(); }, absl::Seconds(10));
+    return loop.RunUntil([this] { return !store.pending.empty(); }, absl::Seconds(10));
   }
 };
 
@@ -59,14 +59,14 @@
   Fixture fixture;
   fixture.follower.Start();
   REQUIRE(fixture.WaitForCall());
-  CHECK(!fixture.store.held.back().watch);
+  CHECK(!fixture.store.pending.back().watch);
   fixture.store.Answer(RowsAt(5));
   REQUIRE(fixture.WaitForCall());
-  CHECK(fixture.store.held.back().watch);
-  CHECK(fixture.store.held.back().after == 5);
+  CHECK(fixture.store.pending.back().watch);
+  CHECK(fixture.store.pending.back().after == 5);
   fixture.store.Answer(RowsAt(6));
   REQUIRE(fixture.WaitForCall());
-  CHECK(fixture.store.held.back().after == 6);
+  CHECK(fixture.store.pending.back().after == 6);
   CHECK(fixture.snapshots == 1);
   CHECK(fixture.changes == 1);
 }
@@ -79,14 +79,14 @@
   REQUIRE(fixture.WaitForCall());
   fixture.store.Answer(RowsAt(5));
   REQUIRE(fixture.WaitForCall());
-  CHECK(fixture.store.held.back().wait == fixture.settings.wait);
+  CHECK(fixture.store.pending.back().wait == fixture.settings.wait);
   fixture.store.Answer(Error::kTimeout);
   REQUIRE(fixture.WaitForCall());
-  CHECK(fixture.store.held.back().after == 5);
-  CHECK(fixture.store.held.back().wait == absl::ZeroDuration());
+  CHECK(fixture.store.pending.back().after == 5);
+  CHECK(fixture.store.pending.back().wait == absl::ZeroDuration());
   fixture.store.Answer(StoreRows{{}, 5});
   REQUIRE(fixture.WaitForCall());
-  CHECK(fixture.store.held.back().wait == fixture.settings.wait);
+  CHECK(fixture.store.pending.back().wait == fixture.settings.wait);
 }
 
 TEST_CASE("a lost history leads to a new snapshot, and an older snapshot is rejected") {
@@ -97,7 +97,7 @@
   REQUIRE(fixture.WaitForCall());
   fixture.store.Answer(Error::kNotFound);
   REQUIRE(fixture.WaitForCall());
-  CHECK(!fixture.store.held.back().watch);
+  CHECK(!fixture.store.pending.back().watch);
   fixture.store.Answer(RowsAt(4));
   CHECK(fixture.snapshots == 1);
   REQUIRE(fixture.WaitForCall());
--- a/tests/serving/worker_counts_test.cc
+++ b/tests/serving/worker_counts_test.cc
@@ -111,8 +111,8 @@
         case 4:
           if (!attempts.empty() && !attempts.back().began) {
             attempts.back().began = true;
-            workers.AttemptBegan(attempts.back().worker, attempts.back().tokens,
-                                 absl::Milliseconds(1), kNow);
+            workers.AnswerStarted(attempts.back().worker, attempts.back().tokens,
+                                  absl::Milliseconds(1), kNow);
           }
           break;
         default:
