--- a/include/hingespan/settings/setting_descriptor.h
+++ b/include/hingespan/settings/setting_descriptor.h
@@ -69,7 +69,7 @@
 std::string AssignSetting(const SettingDescriptor& setting, const TomlValue& value,
                           NodeSettings* settings);
 // Parses a flag's text according to the setting's type; lists are split at commas.
-TomlValue ValueOfText(const SettingDescriptor& setting, std::string_view text);
+TomlValue ParseFlagValue(const SettingDescriptor& setting, std::string_view text);
 
 // Returns whether `text` is "ip:port" with a numeric IPv4 or bracketed IPv6 address.
 bool IsIpAndPort(std::string_view text);
--- a/src/settings/node_settings.cc
+++ b/src/settings/node_settings.cc
@@ -14,7 +14,7 @@
 namespace hingespan {
 namespace {
 
-constexpr std::size_t kShortestSecret = 16;
+constexpr std::size_t kMinSecretLength = 16;
 constexpr char kFlagPlace[] = "--set";
 
 // Returns the section of a key, e.g. "http.tls" for "http.tls.key_file".
@@ -120,7 +120,7 @@
   void ApplyOverride(const SettingOverride& flag) {
     const SettingDescriptor* setting = FindSetting(flag.key);
     const TomlValue value =
-        setting != nullptr ? ValueOfText(*setting, flag.value) : TomlValue(flag.value);
+        setting != nullptr ? ParseFlagValue(*setting, flag.value) : TomlValue(flag.value);
     ApplyValue(flag.key, value, {kFlagPlace, 0, 0});
   }
 
@@ -142,9 +142,9 @@
       return "";
     }
     std::string secret(absl::StripAsciiWhitespace(*text));
-    if (secret.size() < kShortestSecret) {
+    if (secret.size() < kMinSecretLength) {
       findings_.push_back({places_[key], key, absl::StrCat("the secret in \"", file, "\" is short"),
-                           absl::StrCat("at least ", kShortestSecret, " characters")});
+                           absl::StrCat("at least ", kMinSecretLength, " characters")});
     }
     return secret;
   }
--- a/src/settings/setting_checks.cc
+++ b/src/settings/setting_checks.cc
@@ -12,8 +12,8 @@
 namespace hingespan {
 namespace {
 
-// Number of reports that a worker may miss before it gets no new work.
-constexpr int kLeastReportsMissed = 2;
+// Minimum number of consecutive reports that a worker must miss before it gets no new work.
+constexpr int kMinMissedReports = 2;
 
 class Checker {
  public:
@@ -41,7 +41,7 @@
     absl::Duration value;
   };
 
-  bool Given(std::string_view key) const { return places_.contains(std::string(key)); }
+  bool IsGiven(std::string_view key) const { return places_.contains(std::string(key)); }
 
   void Add(std::string_view key, std::string problem, std::string allowed) {
     const auto found = places_.find(std::string(key));
@@ -51,7 +51,7 @@
 
   void Require(std::string_view key, bool present) {
     // A value that was given but rejected is already reported.
-    if (!present && !Given(key)) {
+    if (!present && !IsGiven(key)) {
       const SettingDescriptor* setting = FindSetting(key);
       Add(key, "is required", setting != nullptr ? SettingType(*setting) : "");
     }
@@ -192,8 +192,7 @@
 
   void CheckDirectory() {
     const DirectoryOptions& directory = settings_.core.directory;
-    const absl::Duration heartbeats =
-        kLeastReportsMissed * settings_.core.keeper.heartbeat_interval;
+    const absl::Duration heartbeats = kMinMissedReports * settings_.core.keeper.heartbeat_interval;
     const TimedKey timeout = {"directory.report_timeout_ms", directory.report_timeout};
     if (timeout.value < heartbeats) {
       Add(timeout.key, "would take workers off that report in time",
--- a/src/settings/setting_descriptor.cc
+++ b/src/settings/setting_descriptor.cc
@@ -335,7 +335,7 @@
          std::holds_alternative<SettingAccessor<std::vector<ZoneId>>>(field);
 }
 
-TomlValue NumberOfText(const std::string& text) {
+TomlValue ParseNumber(const std::string& text) {
   std::int64_t integer = 0;
   if (absl::SimpleAtoi(text, &integer)) {
     return integer;
@@ -347,7 +347,7 @@
   return text;
 }
 
-TomlValue ListOfText(const std::string& text) {
+TomlValue ParseList(const std::string& text) {
   const std::vector<std::string> parts = absl::StrSplit(text, ',', absl::SkipWhitespace());
   std::vector<std::string> list;
   list.reserve(parts.size());
@@ -357,7 +357,7 @@
   return list;
 }
 
-TomlValue BooleanOfText(const std::string& text) {
+TomlValue ParseBoolean(const std::string& text) {
   if (text == "true" || text == "false") {
     return text == "true";
   }
@@ -388,16 +388,16 @@
   return std::visit(Assigner(setting, value, settings), setting.field);
 }
 
-TomlValue ValueOfText(const SettingDescriptor& setting, std::string_view text) {
+TomlValue ParseFlagValue(const SettingDescriptor& setting, std::string_view text) {
   std::string copy(text);
   if (IsNumber(setting.field)) {
-    return NumberOfText(copy);
+    return ParseNumber(copy);
   }
   if (IsList(setting.field)) {
-    return ListOfText(copy);
+    return ParseList(copy);
   }
   if (std::holds_alternative<SettingAccessor<bool>>(setting.field)) {
-    return BooleanOfText(copy);
+    return ParseBoolean(copy);
   }
   return copy;
 }
--- a/src/settings/text_rules.cc
+++ b/src/settings/text_rules.cc
@@ -20,7 +20,7 @@
 };
 
 // Splits an "ip:port"; the port is kNoPort if `text` has a different form.
-IpAndPort Split(std::string_view text) {
+IpAndPort SplitIpAndPort(std::string_view text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos) {
     return {};
@@ -56,16 +56,16 @@
 }  // namespace
 
 bool IsIpAndPort(std::string_view text) {
-  const IpAndPort parts = Split(text);
+  const IpAndPort parts = SplitIpAndPort(text);
   return parts.port != kNoPort && (IsIpv4(parts.ip) || IsBracketedIpv6(parts.ip));
 }
 
 bool IsLoopback(std::string_view ip_and_port) {
-  const IpAndPort parts = Split(ip_and_port);
+  const IpAndPort parts = SplitIpAndPort(ip_and_port);
   return parts.ip.starts_with("127.") || parts.ip == "[::1]";
 }
 
-int PortOf(std::string_view ip_and_port) { return std::max(0, Split(ip_and_port).port); }
+int PortOf(std::string_view ip_and_port) { return std::max(0, SplitIpAndPort(ip_and_port).port); }
 
 bool IsName(std::string_view text) {
   return !text.empty() && text.size() <= kMaximumNameLength &&
--- a/src/settings/toml_document.cc
+++ b/src/settings/toml_document.cc
@@ -69,7 +69,7 @@
     }
   }
 
-  std::vector<TomlEntry> TakeInOrder() {
+  std::vector<TomlEntry> TakeSortedEntries() {
     std::stable_sort(entries_.begin(), entries_.end(),
                      [](const TomlEntry& left, const TomlEntry& right) {
                        return left.place.line < right.place.line;
@@ -78,8 +78,8 @@
   }
 
  private:
-  // Returns the region of the key, which is the most helpful place for values. A table whose key has
-  // none has its header as its own region.
+  // Returns the region of the key, which is the most helpful place for values. A table whose key
+  // has none has its header as its own region.
   static const toml::source_region& PlaceRegion(const toml::key& key, const toml::node& node) {
     return key.source().begin.line > 0 ? key.source() : node.source();
   }
@@ -97,7 +97,7 @@
     const toml::table table = toml::parse(text, file);
     Flattener flattener(file);
     flattener.Visit(table);
-    document.entries = flattener.TakeInOrder();
+    document.entries = flattener.TakeSortedEntries();
   } catch (const toml::parse_error& error) {
     document.findings.push_back(
         {PlaceOf(error.source(), file), "syntax", std::string(error.description()), "TOML 1.0"});
