--- a/src/serving/gateway_demand.cc
+++ b/src/serving/gateway_demand.cc
@@ -1,4 +1,4 @@
-// What the gateway tells the holder of the placement lease: what its callers ask for, what it runs.
+// The gateway's report to the lease holder: its callers' demand and its own load on the workers.
 #include <map>
 #include <memory>
 #include <string>
@@ -9,12 +9,12 @@
 namespace hingespan::gateway {
 namespace {
 
-// A caller may come back this much later than it was told.
+// Tolerance for callers that retry later than they were asked to.
 constexpr absl::Duration kReturnSlack = absl::Milliseconds(500);
 
 }  // namespace
 
-void Gateway::ToldToReturn(const std::string& service, const ModelKey& model, absl::Time at) {
+void Gateway::ExpectReturn(const std::string& service, const ModelKey& model, absl::Time at) {
   if (settings_.serving.count_returning && !model.model.empty()) {
     returning_.push_back({{service, model}, at + kReturnSlack});
     fleet_->DemandWaits();
--- a/src/serving/gateway_settings.cc
+++ b/src/serving/gateway_settings.cc
@@ -14,7 +14,8 @@
 namespace hingespan::gateway {
 namespace {
 
-// One setting: how its value is checked and stored. Returns what is allowed when it is not.
+// Checks and stores the value of one setting. Returns an empty string, or the allowed values if the
+// value is not allowed.
 using Setter = std::function<std::string(const TomlValue&)>;
 
 Setter Text(std::string* target) {
@@ -51,11 +52,11 @@
   return false;
 }
 
-Setter Number(double least, double most, const std::function<void(double)>& store) {
+Setter Number(double minimum, double maximum, const std::function<void(double)>& store) {
   return [=](const TomlValue& value) -> std::string {
     double number = 0;
-    if (!ReadNumber(value, &number) || number < least || number > most) {
-      return absl::StrCat("a number from ", least, " to ", most);
+    if (!ReadNumber(value, &number) || number < minimum || number > maximum) {
+      return absl::StrCat("a number from ", minimum, " to ", maximum);
     }
     store(number);
     return {};
@@ -89,11 +90,11 @@
   };
 }
 
-Setter Amount(double most, double* target) {
-  return Number(0, most, [target](double value) { *target = value; });
+Setter Amount(double maximum, double* target) {
+  return Number(0, maximum, [target](double value) { *target = value; });
 }
 
-// What the system weighs when it decides: [policy] and [policy.placement].
+// Setters for the decision policies in [policy].
 std::map<std::string, Setter> PolicySetters(GatewaySettings* settings) {
   ServingPolicy& serving = settings->serving;
   PlacementPolicy& placement = settings->placement;
--- a/src/settings/node_settings.cc
+++ b/src/settings/node_settings.cc
@@ -14,16 +14,16 @@
 namespace hingespan {
 namespace {
 
-constexpr std::size_t kShortestSecret = 16;
+constexpr std::size_t kMinSecretLength = 16;
 constexpr char kFlagPlace[] = "--set";
 
-// "http.tls" of "http.tls.key_file".
+// Returns the section of a key, e.g. "http.tls" for "http.tls.key_file".
 std::string SectionOf(std::string_view key) {
   const std::size_t dot = key.rfind('.');
   return std::string(dot == std::string_view::npos ? "" : key.substr(0, dot));
 }
 
-// Whether some setting is inside of the section, or deeper.
+// Returns whether any setting is in the section or in one of its subsections.
 bool IsSection(const std::string& section) {
   const auto& all = AllSettings();
   return std::any_of(all.begin(), all.end(), [&section](const SettingDescriptor& setting) {
@@ -97,7 +97,7 @@
     }
   }
 
-  // Such a section has its own finding, and its keys have none.
+  // Keys of an unknown section are not reported, as the section itself is.
   bool InUnknownSection(const std::string& key) const {
     return std::any_of(
         unknown_sections_.begin(), unknown_sections_.end(),
@@ -120,7 +120,7 @@
   void ApplyOverride(const SettingOverride& flag) {
     const SettingDescriptor* setting = FindSetting(flag.key);
     const TomlValue value =
-        setting != nullptr ? ValueOfText(*setting, flag.value) : TomlValue(flag.value);
+        setting != nullptr ? ParseFlagValue(*setting, flag.value) : TomlValue(flag.value);
     ApplyValue(flag.key, value, {kFlagPlace, 0, 0});
   }
 
@@ -142,9 +142,9 @@
       return "";
     }
     std::string secret(absl::StripAsciiWhitespace(*text));
-    if (secret.size() < kShortestSecret) {
+    if (secret.size() < kMinSecretLength) {
       findings_.push_back({places_[key], key, absl::StrCat("the secret in \"", file, "\" is short"),
-                           absl::StrCat("at least ", kShortestSecret, " characters")});
+                           absl::StrCat("at least ", kMinSecretLength, " characters")});
     }
     return secret;
   }
--- a/src/settings/setting_checks.cc
+++ b/src/settings/setting_checks.cc
@@ -12,8 +12,8 @@
 namespace hingespan {
 namespace {
 
-// A worker must miss this many reports before it gets no new work.
-constexpr int kLeastReportsMissed = 2;
+// Minimum number of consecutive reports that a worker must miss before it gets no new work.
+constexpr int kMinMissedReports = 2;
 
 class Checker {
  public:
@@ -35,13 +35,13 @@
   }
 
  private:
-  // A duration and its key.
+  // Duration with its key.
   struct TimedKey {
     std::string_view key;
     absl::Duration value;
   };
 
-  bool Given(std::string_view key) const { return places_.contains(std::string(key)); }
+  bool IsGiven(std::string_view key) const { return places_.contains(std::string(key)); }
 
   void Add(std::string_view key, std::string problem, std::string allowed) {
     const auto found = places_.find(std::string(key));
@@ -50,8 +50,8 @@
   }
 
   void Require(std::string_view key, bool present) {
-    // A value that was given and refused has its own finding.
-    if (!present && !Given(key)) {
+    // A value that was given but rejected is already reported.
+    if (!present && !IsGiven(key)) {
       const SettingDescriptor* setting = FindSetting(key);
       Add(key, "is required", setting != nullptr ? SettingType(*setting) : "");
     }
@@ -192,8 +192,7 @@
 
   void CheckDirectory() {
     const DirectoryOptions& directory = settings_.core.directory;
-    const absl::Duration heartbeats =
-        kLeastReportsMissed * settings_.core.keeper.heartbeat_interval;
+    const absl::Duration heartbeats = kMinMissedReports * settings_.core.keeper.heartbeat_interval;
     const TimedKey timeout = {"directory.report_timeout_ms", directory.report_timeout};
     if (timeout.value < heartbeats) {
       Add(timeout.key, "would take workers off that report in time",
--- a/tests/retry_budget/retry_budget_test.cc
+++ b/tests/retry_budget/retry_budget_test.cc
@@ -1,5 +1,5 @@
-// The budget of repeats before a fleet whose nodes start, are killed, stop and lose sight of each
-// other: what all send together, counted as the users count it.
+// Tests of the retry budget on a simulated fleet whose nodes start, are killed, stop and fail to
+// read the fleet table. The retries of all nodes together are counted the way the users count them.
 #include "hingespan/serving/retry_budget.h"
 
 #include <doctest/doctest.h>
@@ -23,7 +23,7 @@
 constexpr int kNodes = 6;
 constexpr double kNever = std::numeric_limits<double>::infinity();
 constexpr double kStep = 0.1;
-// Seconds until which the fleet runs undisturbed, and until which it runs.
+// Times in seconds at which disturbances may begin and at which the run ends.
 constexpr double kUndisturbed = 45;
 constexpr double kEnd = 100;
 constexpr double kStopTime = 8;
@@ -33,9 +33,9 @@
 
 absl::Time At(double seconds) { return absl::UnixEpoch() + absl::Seconds(1000 + seconds); }
 
-enum class EventKind { kKill, kStop, kBlind, kFailures, kMoveLoad };
+enum class EventKind { kKill, kStop, kReadOutage, kFailures, kMoveLoad };
 
-// Something that happens to `count` nodes from `node` on.
+// Disturbance that affects `count` nodes, starting with `node`.
 struct Event {
   EventKind kind = EventKind::kKill;
   double at = 0;
@@ -62,34 +62,36 @@
       }))));
 }
 
-// Nodes with a table of rows, in virtual time. Requests come at a steady rate; while workers fail,
-// every node sends all repeats that its budget grants.
-class FleetOfBudgets {
+// Simulates nodes with a fleet table in virtual time. Requests arrive at a steady rate; while
+// workers fail, every node sends all retries that its budget allows.
+class SimulatedFleet {
  public:
-  explicit FleetOfBudgets(unsigned seed) : random_(seed) {
+  explicit SimulatedFleet(unsigned seed) : random_(seed) {
     for (int node = 0; node < kNodes; ++node) {
       processes_.push_back(StartProcess(node));
     }
   }
 
-  void Play(std::vector<Event> events) {
+  void Run(std::vector<Event> events) {
     std::stable_sort(events.begin(), events.end(),
                      [](const Event& left, const Event& right) { return left.at < right.at; });
     auto next = events.begin();
     for (; now_ < kEnd; now_ += kStep) {
       for (; next != events.end() && next->at <= now_; ++next) {
-        Happen(*next);
+        ApplyEvent(*next);
       }
       Step();
     }
   }
 
-  // The largest excess over what the users allow in any window; at most 0 when none is exceeded.
+  // Returns the largest excess of retries over the users' limit in any window; at most 0 if the
+  // limit is never exceeded.
   double WorstExcess() const {
     double worst = -kNever;
     const double window = absl::ToDoubleSeconds(kLimits.window);
     for (const double end : repeats_) {
-      // The users count a window's requests, or those of one half a window or a window earlier.
+      // The users count the requests of the same window, or of a window that lies half a window or
+      // one window earlier.
       const int most = std::max({Count(requests_, end - window, end),
                                  Count(requests_, end - 1.5 * window, end - 0.5 * window),
                                  Count(requests_, end - 2 * window, end - window)});
@@ -105,7 +107,7 @@
     RetryBudget budget;
     double ends = kNever;
     double next_read = 0;
-    double blind_until = 0;
+    double reads_fail_until = 0;
   };
 
   static std::string NameOf(int node) { return absl::StrCat("n", node); }
@@ -126,7 +128,7 @@
             0};
   }
 
-  void Happen(const Event& event) {
+  void ApplyEvent(const Event& event) {
     for (int number = 0; number < event.count; ++number) {
       const int node = (event.node + number) % kNodes;
       Process& process = processes_[node];
@@ -141,8 +143,8 @@
             tables_[now_] = table_;
           }
           break;
-        case EventKind::kBlind:
-          process.blind_until = now_ + event.seconds;
+        case EventKind::kReadOutage:
+          process.reads_fail_until = now_ + event.seconds;
           break;
         case EventKind::kFailures:
           failing_until_ = now_ + event.seconds;
@@ -160,13 +162,13 @@
       if (process.ends <= now_) {
         process = StartProcess(node);
       }
-      if (process.next_read <= now_ && process.blind_until <= now_) {
+      if (process.next_read <= now_ && process.reads_fail_until <= now_) {
         Read(&process);
       }
     }
     const double expected = kRequestsEachSecond * kStep;
     for (int number = 0; number < static_cast<int>(expected); ++number) {
-      // The busiest node gets most of the load.
+      // The busiest node, if there is one, receives most of the load.
       const int node =
           busiest_ >= 0 && Uniform(0, 1) < 0.9 ? busiest_ : static_cast<int>(Uniform(0, kNodes));
       processes_[node].budget.RecordRequest(kService, At(now_));
@@ -174,25 +176,25 @@
     }
     if (now_ < failing_until_) {
       for (Process& process : processes_) {
-        while (process.budget.TryTake(kService, At(now_))) {
+        while (process.budget.TryAcquire(kService, At(now_))) {
           repeats_.push_back(now_);
         }
       }
     }
   }
 
-  // A copy of the table, as it stood a short while ago.
+  // Gives the process a slightly outdated copy of the table.
   void Read(Process* process) {
     process->next_read = now_ + Uniform(1, kLongestReadInterval);
-    const double of = std::max(0.0, now_ - Uniform(0, kOldestCopy));
-    const std::set<std::string>& copy = std::prev(tables_.upper_bound(of))->second;
+    const double copied_at = std::max(0.0, now_ - Uniform(0, kOldestCopy));
+    const std::set<std::string>& copy = std::prev(tables_.upper_bound(copied_at))->second;
     process->budget.SetNodes({copy.begin(), copy.end()}, At(now_), At(now_));
   }
 
   std::mt19937 random_;
   double now_ = 0;
   std::set<std::string> table_;
-  // The table's states by the time from which they hold.
+  // States of the table by the time at which each became current.
   std::map<double, std::set<std::string>> tables_;
   std::vector<Process> processes_;
   double failing_until_ = 0;
@@ -201,47 +203,48 @@
   std::vector<double> repeats_;
 };
 
-// Plays `events` beside workers that fail at some time.
+// Runs a fleet with events of these kinds and failing workers, and checks the budget.
 void CheckBudget(std::vector<EventKind> kinds) {
   kinds.push_back(EventKind::kFailures);
   const std::vector<Event> events = *EventsOf(kinds);
-  FleetOfBudgets fleet(*rc::gen::arbitrary<unsigned>());
-  fleet.Play(events);
+  SimulatedFleet fleet(*rc::gen::arbitrary<unsigned>());
+  fleet.Run(events);
   RC_ASSERT(fleet.WorstExcess() <= 0);
 }
 
-// Guards against a process that has its part of the budget again that its predecessor used up.
-TEST_CASE("killed and started again: a process does not spend its predecessor's repeats again") {
+// Guards against a restarted process that spends the share of the budget that its predecessor
+// already used.
+TEST_CASE("a restarted process does not spend its predecessor's retries again") {
   CHECK(rc::check("nodes are killed", [] { CheckBudget({EventKind::kKill}); }));
 }
 
-// Guards against dividing the budget by fewer nodes than still send repeats.
-TEST_CASE("nodes that stop slowly keep within the parts that the others leave them") {
+// Guards against dividing the budget by fewer nodes than still send retries.
+TEST_CASE("slowly stopping nodes stay within the shares that the others leave them") {
   CHECK(rc::check("nodes stop", [] { CheckBudget({EventKind::kStop}); }));
 }
 
-// Guards against a node that takes an old, or no, number of nodes for the fleet's.
-TEST_CASE("a node that can't read the table does not use a part that others may count on") {
-  CHECK(rc::check("nodes are blind", [] {
-    CheckBudget({EventKind::kBlind, EventKind::kStop, EventKind::kKill});
+// Guards against a node that uses an outdated number of nodes, or none.
+TEST_CASE("a node that can't read the table does not use a share that others may use") {
+  CHECK(rc::check("nodes can't read the table", [] {
+    CheckBudget({EventKind::kReadOutage, EventKind::kStop, EventKind::kKill});
   }));
 }
 
-// Guards against nodes that earn repeats in turn, each with the requests of another window.
-TEST_CASE("load that moves from node to node earns its repeats once") {
+// Guards against nodes that earn retries in turn, each from the requests of a different window.
+TEST_CASE("load that moves from node to node earns its retries only once") {
   CHECK(rc::check("load moves", [] { CheckBudget({EventKind::kMoveLoad}); }));
 }
 
-// Guards against any mix of these.
-TEST_CASE("property: a fleet in trouble stays within the budget in any window") {
+// Guards against any combination of these failures.
+TEST_CASE("property: a fleet with failures stays within the budget in any window") {
   CHECK(rc::check("all together", [] {
-    CheckBudget({EventKind::kKill, EventKind::kStop, EventKind::kBlind, EventKind::kMoveLoad});
+    CheckBudget({EventKind::kKill, EventKind::kStop, EventKind::kReadOutage, EventKind::kMoveLoad});
   }));
 }
 
-// Guards against nodes whose counts, taken at different instants, add up to more than is allowed.
+// Guards against nodes whose counts, taken at different times, add up to more than the limit.
 TEST_CASE("property: all nodes together stay within the budget in any window") {
-  CHECK(rc::check("repeats of several nodes", [] {
+  CHECK(rc::check("retries of several nodes", [] {
     const RetryBudgetLimits limits{0.2, 12, absl::Seconds(10)};
     const int nodes = *rc::gen::inRange(1, 5);
     std::vector<std::string> names;
@@ -253,7 +256,8 @@
     budgets.reserve(nodes);
     for (const std::string& name : names) {
       budgets.emplace_back(limits, FleetShare(name), At(-30));
-      // Long ago, so that each node has its part from the first request on.
+      // This read lies far enough in the past for each node to have its share from the first
+      // request on.
       budgets.back().SetNodes(names, At(-30), At(-30));
     }
     std::vector<double> requests;
@@ -268,7 +272,7 @@
       if (*rc::gen::inRange(0, 3) == 0) {
         budget.RecordRequest("s", At(now));
         requests.push_back(now);
-      } else if (budget.TryTake("s", At(now))) {
+      } else if (budget.TryAcquire("s", At(now))) {
         repeats.push_back(now);
       }
     }
@@ -280,7 +284,8 @@
       return sum;
     };
     for (const double end : repeats) {
-      // The users count a window's requests, or those of one half a window or a window earlier.
+      // The users count the requests of the same window, or of a window that lies half a window or
+      // one window earlier.
       const int most = std::max({count(requests, end - 10, end), count(requests, end - 15, end - 5),
                                  count(requests, end - 20, end - 10)});
       RC_ASSERT(count(repeats, end - 10, end) <= 0.2 * most + 12);
@@ -288,10 +293,10 @@
   }));
 }
 
-// Guards against a budget that is kept by sending nothing.
+// Guards against a budget that is met by sending no retries at all.
 TEST_CASE("an undisturbed fleet may send most of its budget") {
-  FleetOfBudgets fleet(1);
-  fleet.Play({{EventKind::kFailures, kUndisturbed, 0, 1, 10}});
+  SimulatedFleet fleet(1);
+  fleet.Run({{EventKind::kFailures, kUndisturbed, 0, 1, 10}});
   const double allowed = kLimits.ratio * kRequestsEachSecond * 10 + kLimits.extra;
   CHECK(fleet.repeats_after(kUndisturbed - kStep) >= 0.7 * allowed);
   CHECK(fleet.WorstExcess() <= 0);
