--- a/include/hingespan/http/event_loop.h
+++ b/include/hingespan/http/event_loop.h
@@ -1,4 +1,4 @@
-// One thread's event loop: sockets, timers and signals all run on it. Boost.Asio behind it.
+// Single-threaded event loop for sockets, timers and signals, implemented with Boost.Asio.
 #ifndef HINGESPAN_HTTP_EVENT_LOOP_H_
 #define HINGESPAN_HTTP_EVENT_LOOP_H_
 
@@ -13,16 +13,16 @@
 
 namespace hingespan::gateway {
 
-// Calls back once at an instant unless cancelled before. Destroying it cancels it.
+// One-shot timer. Destroying it cancels the pending callback.
 class LoopTimer {
  public:
   virtual ~LoopTimer() = default;
-  // Replaces what was set before.
+  // Replaces any pending callback.
   virtual void Set(absl::Time when, std::function<void()> callback) = 0;
   virtual void Cancel() = 0;
 };
 
-// Not thread-safe: everything that uses a loop runs on the thread inside Run().
+// Not thread-safe: all users of a loop must run on the thread that is inside Run().
 class EventLoop {
  public:
   EventLoop();
@@ -30,15 +30,15 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  // The steady clock; only differences mean anything.
+  // Time of the steady clock; only differences between two values are meaningful.
   absl::Time Now() const;
   std::unique_ptr<LoopTimer> MakeTimer();
-  // Runs `task` soon, not within this call.
+  // Queues `task` to run on the loop; never runs it within this call.
   void Post(std::function<void()> task);
-  // Calls back each time the signal arrives.
+  // Calls `callback` each time the signal arrives.
   void OnSignal(int signal, std::function<void()> callback);
   void Run();
-  // Runs until `done` is true or `limit` is reached; for tests. Returns whether it is true.
+  // For tests: runs until `done` returns true or `limit` has passed. Returns false on the limit.
   bool RunUntil(const std::function<bool()>& done, absl::Duration limit);
   void Stop();
 
--- a/include/hingespan/http/http_client.h
+++ b/include/hingespan/http/http_client.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 exchanges with other machines on an event loop, over kept connections.
+// HTTP/1.1 client on an event loop, with a pool of keep-alive connections.
 #ifndef HINGESPAN_HTTP_HTTP_CLIENT_H_
 #define HINGESPAN_HTTP_HTTP_CLIENT_H_
 
@@ -14,26 +14,26 @@
 
 namespace hingespan::gateway {
 
-// How an exchange ended.
+// Outcome of an exchange.
 enum class ExchangeResult {
   // The whole answer was received.
   kComplete,
-  // No byte of the request was taken by the other side's machine: it has not been seen there.
+  // No byte of the request was delivered to the peer, so the peer has not seen it.
   kNotSent,
-  // The connection ended before the answer was whole; the request may have been seen.
+  // The connection ended before the answer was complete; the peer may have seen the request.
   kBroken,
-  // What came is no answer in the protocol.
+  // The received bytes are not a valid HTTP answer, or the receiver rejected its head.
   kMalformed,
 };
 
-// Receives the answer. Calls come from the loop, never from within ClientExchange's functions.
+// Receives the answer. Called from the loop, never from within a ClientExchange function.
 class AnswerReceiver {
  public:
   virtual ~AnswerReceiver() = default;
-  // False: the answer isn't wanted; the connection is closed and `OnEnd` gets kMalformed.
+  // Returns false to reject the answer: the connection is closed and `OnEnd` gets kMalformed.
   virtual bool OnHead(const AnswerHead& head) = 0;
   virtual void OnBody(absl::string_view piece) = 0;
-  // The last call. Not made after Cancel.
+  // The last call of an exchange. Not called after Cancel.
   virtual void OnEnd(ExchangeResult result) = 0;
 };
 
@@ -41,24 +41,24 @@
 class ClientExchange {
  public:
   virtual ~ClientExchange() = default;
-  // Closes the connection at once; the receiver is not called again.
+  // Closes the connection immediately; the receiver is not called again.
   virtual void Cancel() = 0;
-  // Cancel, by a reset: bytes that a slow or cut link still holds up are thrown away.
+  // Cancels with a TCP reset, which discards bytes still held up by a slow or broken link.
   virtual void Discard() = 0;
-  // Stops and restarts reading, for a reader that can't keep up.
+  // Pause and resume reading from the connection, for receivers that can't keep up.
   virtual void PauseReading() = 0;
   virtual void ResumeReading() = 0;
 };
 
 struct ClientLimits {
   absl::Duration connect_timeout = absl::Milliseconds(400);
-  // Kept connections are closed after this, and earlier where the other side says so.
+  // Idle connections are closed after this time, or earlier if the peer's Keep-Alive field says so.
   absl::Duration idle_timeout = absl::Seconds(20);
-  // Bytes sent but not confirmed for so long end the connection (TCP_USER_TIMEOUT).
+  // A connection with bytes unacknowledged for this long is closed (TCP_USER_TIMEOUT).
   absl::Duration unacknowledged_timeout = absl::Seconds(3);
 };
 
-// Connections to any number of addresses. Not thread-safe; lives on its loop.
+// Client for any number of addresses. Not thread-safe; must be used on the thread of its loop.
 class HttpClient {
  public:
   HttpClient(EventLoop* loop, const ClientLimits& limits);
@@ -66,21 +66,21 @@
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  // `message` is the whole request as bytes. `receiver` must outlive the exchange.
+  // `message` is the complete serialized request. `receiver` must outlive the exchange.
   std::unique_ptr<ClientExchange> Send(const std::string& address, std::string message,
                                        AnswerReceiver* receiver);
-  // Connections to `address`, busy and kept ones.
+  // Number of open connections to `address`, busy and idle.
   std::size_t connections(const std::string& address) const;
-  std::size_t kept_connections(const std::string& address) const;
-  // Closes all kept connections to an address whose owner is gone.
-  void Forget(const std::string& address);
+  std::size_t idle_connections(const std::string& address) const;
+  // Closes all idle connections to an address that is no longer in use.
+  void CloseIdleConnections(const std::string& address);
 
  private:
   struct Implementation;
   std::shared_ptr<Implementation> implementation_;
 };
 
-// The text of a request: request line, `fields`, and a body of known length.
+// Serializes a request: request line, `fields`, and a body with Content-Length.
 std::string RequestText(absl::string_view method, absl::string_view target, absl::string_view host,
                         const HeaderFields& fields, absl::string_view body);
 
--- a/include/hingespan/http/http_server.h
+++ b/include/hingespan/http/http_server.h
@@ -1,5 +1,5 @@
-// An HTTP/1.1 server on an event loop: one request at a time on a connection, kept connections,
-// limits on heads, bodies and waits, and answers that are written in pieces.
+// HTTP/1.1 server on an event loop: one request at a time per connection, keep-alive, limits on
+// head size, body size and timeouts, and chunked answers.
 #ifndef HINGESPAN_HTTP_HTTP_SERVER_H_
 #define HINGESPAN_HTTP_HTTP_SERVER_H_
 
@@ -19,64 +19,64 @@
 
 struct ServerLimits {
   MessageLimits message;
-  // From the first byte of a request to the end of its head; also between pieces of its body.
+  // Time from a request's first byte to the end of its head, and between two pieces of its body.
   absl::Duration head_timeout = absl::Seconds(3);
-  // A kept connection without a request is closed after this. While an answer is still being sent,
-  // only if the caller has taken nothing of it for this long.
+  // A keep-alive connection without a request is closed after this time. While an answer is being
+  // sent, it is closed only if the caller has acknowledged none of it for this long.
   absl::Duration idle_timeout = absl::Seconds(15);
   std::size_t max_connections = 3000;
 };
 
-// What a server's connections are at; each counts once. Bytes are of all of them together.
+// Number of connections by state, each counted once, and byte totals over all connections.
 struct ServerActivity {
-  // A whole request was read, and its answer isn't whole; or bytes read behind it are to be parsed.
+  // A complete request was read and its answer is incomplete, or bytes after it are to be parsed.
   std::size_t answering = 0;
-  // The last answer is whole, but not all of it has reached the caller's system: closing a socket
-  // that has bytes unread drops what was not acknowledged.
+  // The last answer is complete, but the caller's kernel has not acknowledged all of it. Closing a
+  // socket that has unread input discards whatever was not acknowledged.
   std::size_t sending = 0;
-  // The last answer has left this process; its connection waits for the caller's end.
+  // The last answer was sent; the connection waits for the caller to close its side.
   std::size_t closing = 0;
-  // All others: kept for a next request, or with part of one.
+  // All others: waiting for the next request, or holding part of one.
   std::size_t idle = 0;
-  // In this process, or in the system and not acknowledged.
+  // Bytes buffered in this process, or in the kernel and not acknowledged.
   std::size_t unsent_bytes = 0;
-  // Received by the system or by this process, but not parsed.
+  // Bytes received by the kernel or by this process, but not parsed.
   std::size_t unread_bytes = 0;
 
-  // Connections whose caller would lose an answer, or its end, with this process.
+  // Connections whose caller would lose an answer, or its end, if this process exited now.
   std::size_t unfinished() const { return answering + sending + closing; }
 };
 
-// One request and its answer. Kept alive by whoever answers. Once `Finish` or `Abort` was called,
-// or the caller has gone, all further calls do nothing.
+// One request and its answer, owned by the code that answers it. Once the answer was finished or
+// aborted, or the caller has disconnected, all further calls do nothing.
 class ServerExchange {
  public:
   virtual ~ServerExchange() = default;
 
   virtual const RequestHead& head() const = 0;
   virtual const std::string& body() const = 0;
-  // When the first byte of the request came.
+  // Time at which the first byte of the request was received.
   virtual absl::Time received() const = 0;
 
-  // Calls back once when the caller's connection ends before the answer is whole.
+  // Calls `callback` once if the caller's connection ends before the answer is complete.
   virtual void OnCallerGone(std::function<void()> callback) = 0;
-  // Calls back each time that what was written has left this process.
+  // Calls `callback` each time all written bytes have been handed to the kernel.
   virtual void OnDrained(std::function<void()> callback) = 0;
-  // Bytes written here that have not left this process yet.
+  // Written bytes that have not been handed to the kernel yet.
   virtual std::size_t pending_bytes() const = 0;
 
-  // A whole answer with a body of known length.
+  // Sends a complete answer with Content-Length.
   virtual void Answer(int status, absl::string_view reason, const HeaderFields& fields,
                       absl::string_view body) = 0;
-  // The head of an answer whose body follows in chunks.
+  // Sends the head of an answer with a chunked body.
   virtual void StartChunked(int status, absl::string_view reason, const HeaderFields& fields) = 0;
   virtual void WriteChunk(absl::string_view bytes) = 0;
   virtual void FinishChunked() = 0;
-  // Ends the connection so that the answer can't be taken for a whole one.
+  // Closes the connection in a way that the caller can't mistake the answer for a complete one.
   virtual void Abort() = 0;
 };
 
-// Not thread-safe; lives on its loop.
+// Not thread-safe; must be used on the thread of its loop.
 class HttpServer {
  public:
   using Handler = std::function<void(std::shared_ptr<ServerExchange>)>;
@@ -86,18 +86,18 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  // `address` is "ip:port"; port 0 lets the kernel choose.
+  // Listens on `address`, "ip:port"; port 0 lets the kernel choose a port.
   std::error_code Listen(const std::string& address);
-  // The address that is listened on; empty before Listen.
+  // The bound address; empty before Listen.
   std::string address() const;
-  // Holds for messages that begin after this call.
+  // Takes effect for messages that begin after this call.
   void SetLimits(const ServerLimits& limits);
-  // From now on every answer asks the caller to close its connection, unless more of its requests
-  // were read before.
+  // From now on every answer carries "Connection: close", unless further requests were already read
+  // from its connection.
   void AskToClose();
   std::size_t connections() const;
   ServerActivity activity() const;
-  // Requests whose answer is not whole yet, or has not reached the caller's system.
+  // Number of requests whose answer is incomplete or not fully acknowledged by the caller's kernel.
   std::size_t open_exchanges() const;
 
  private:
--- a/include/hingespan/http/message_head.h
+++ b/include/hingespan/http/message_head.h
@@ -1,4 +1,4 @@
-// Heads of HTTP/1.1 messages as plain values, so that only the parser includes Beast.
+// Heads of HTTP/1.1 messages as plain structs, so that only the parser includes Boost.Beast.
 #ifndef HINGESPAN_HTTP_MESSAGE_HEAD_H_
 #define HINGESPAN_HTTP_MESSAGE_HEAD_H_
 
@@ -20,10 +20,10 @@
 
 struct RequestHead {
   std::string method;
-  // Path and query as they came.
+  // Path and query as received, not decoded.
   std::string target;
   HeaderFields fields;
-  // Whether the connection may carry another request after this one.
+  // True if the connection may carry another request after this one.
   bool keep_alive = true;
 };
 
@@ -32,20 +32,20 @@
   std::string reason;
   HeaderFields fields;
   bool keep_alive = true;
-  // Absent: the body is chunked or ends with the connection.
+  // Unset if the body is chunked or ends with the connection.
   std::optional<std::uint64_t> body_length;
-  // The body ends with the connection.
+  // True if the end of the connection marks the end of the body.
   bool ends_with_connection = false;
 };
 
-// The value of the first field with this name, without regard to case; null when there is none.
+// Returns the value of the first field with this name (case-insensitive), or null if there is none.
 const std::string* FindField(const HeaderFields& fields, absl::string_view name);
 
-// Whether a field concerns a single connection only (RFC 9110, 7.6.1) or frames the body.
-// `connection_value` is the value of the message's Connection field, which may name more of them.
+// Returns true for hop-by-hop fields (RFC 9110, 7.6.1) and for fields that frame the body.
+// `connection_value` is the value of the message's Connection field, which may name further ones.
 bool IsConnectionField(absl::string_view name, absl::string_view connection_value);
 
-// The usual reason phrase of a status.
+// Returns the standard reason phrase of a status.
 absl::string_view ReasonPhrase(int status);
 
 }  // namespace hingespan::gateway
--- a/include/hingespan/http/message_parser.h
+++ b/include/hingespan/http/message_parser.h
@@ -1,4 +1,4 @@
-// Parsers of HTTP/1.1 messages that arrive in pieces: Beast's parser behind plain values.
+// Incremental parsers of HTTP/1.1 messages, implemented with Boost.Beast.
 #ifndef HINGESPAN_HTTP_MESSAGE_PARSER_H_
 #define HINGESPAN_HTTP_MESSAGE_PARSER_H_
 
@@ -13,7 +13,7 @@
 
 namespace hingespan::gateway {
 
-// Why a message can't be read any further.
+// Reason for which a message can't be parsed any further.
 enum class ParseFault { kNone, kMalformed, kHeadTooLarge, kBodyTooLarge };
 
 struct MessageLimits {
@@ -21,7 +21,7 @@
   std::uint64_t body_bytes = 4 * 1024 * 1024;
 };
 
-// Reads one request whole, its body included. Not thread-safe.
+// Parses one request including its body. Not thread-safe.
 class RequestParser {
  public:
   explicit RequestParser(const MessageLimits& limits);
@@ -29,7 +29,7 @@
   RequestParser(const RequestParser&) = delete;
   RequestParser& operator=(const RequestParser&) = delete;
 
-  // Takes what it can and returns the number of bytes taken; what follows a whole request is left.
+  // Returns the number of bytes consumed; bytes after a complete request are left unconsumed.
   std::size_t Feed(absl::string_view bytes);
   ParseFault fault() const;
   bool head_complete() const;
@@ -42,17 +42,17 @@
   std::unique_ptr<Implementation> implementation_;
 };
 
-// Reads one answer; the body is handed on as it comes. Not thread-safe.
+// Parses one answer and passes its body on as it arrives. Not thread-safe.
 class AnswerParser {
  public:
-  // `on_body` is called within Feed, after the head is complete.
+  // `on_body` is called from within Feed, after the head is complete.
   explicit AnswerParser(std::function<void(absl::string_view)> on_body);
   ~AnswerParser();
   AnswerParser(const AnswerParser&) = delete;
   AnswerParser& operator=(const AnswerParser&) = delete;
 
   std::size_t Feed(absl::string_view bytes);
-  // The other side closed its connection in good order: completes a body that ends so.
+  // Reports an orderly close by the peer, which completes a body that ends with the connection.
   void FeedEnd();
   ParseFault fault() const;
   bool head_complete() const;
--- a/include/hingespan/http/server_connection.h
+++ b/include/hingespan/http/server_connection.h
@@ -1,4 +1,4 @@
-// One caller's connection of an HttpServer.
+// A single accepted connection of an HttpServer.
 #ifndef HINGESPAN_HTTP_SERVER_CONNECTION_H_
 #define HINGESPAN_HTTP_SERVER_CONNECTION_H_
 
@@ -17,7 +17,7 @@
   virtual void AddTo(ServerActivity* activity) const = 0;
 };
 
-// What a server's connections share.
+// State shared by all connections of a server.
 struct ServerState {
   EventLoop* loop = nullptr;
   HttpServer::Handler handler;
@@ -26,7 +26,7 @@
   absl::flat_hash_set<const ServerConnection*> connections;
 };
 
-// Reads requests from `socket` and hands them to the handler until the connection ends.
+// Reads requests from `socket` and passes them to the handler until the connection ends.
 void StartServerConnection(const std::shared_ptr<ServerState>& server,
                            boost::asio::ip::tcp::socket socket);
 
--- a/src/http/event_loop.cc
+++ b/src/http/event_loop.cc
@@ -42,7 +42,7 @@
   }
 
   boost::asio::steady_timer timer_;
-  // Rises with each Set and Cancel: a callback already queued then knows that it is void.
+  // Incremented by each Set and Cancel, so that a callback that is already queued is ignored.
   std::shared_ptr<int> generation_ = std::make_shared<int>(0);
 };
 
@@ -91,7 +91,7 @@
 
 bool EventLoop::RunUntil(const std::function<bool()>& done, absl::Duration limit) {
   const absl::Time end = Now() + limit;
-  // A loop that once ran out of work counts as stopped.
+  // A loop that ran out of work is in the stopped state.
   implementation_->context.restart();
   auto work = boost::asio::make_work_guard(implementation_->context);
   while (!done()) {
--- a/src/http/http_client.cc
+++ b/src/http/http_client.cc
@@ -23,17 +23,18 @@
 
 using boost::asio::ip::tcp;
 
-constexpr std::size_t kReadSize = 16 * 1024;
-// A kept connection is used until this part of the time the other side keeps it.
-constexpr double kUsablePartOfKeepAlive = 0.7;
+constexpr std::size_t kReadBufferBytes = 16 * 1024;
+// An idle connection is reused only within this fraction of the peer's keep-alive timeout, so that
+// the peer does not close it just as a request is sent.
+constexpr double kKeepAliveFraction = 0.7;
 
 class Connection;
 
-// The kept connections by address.
+// Idle connections, and the number of open ones, by address.
 struct Pool {
   EventLoop* loop = nullptr;
   ClientLimits limits;
-  absl::flat_hash_map<std::string, std::list<std::shared_ptr<Connection>>> kept;
+  absl::flat_hash_map<std::string, std::list<std::shared_ptr<Connection>>> idle;
   absl::flat_hash_map<std::string, std::size_t> open;
 };
 
@@ -62,8 +63,9 @@
     received_any_ = false;
     written_ = false;
     paused_ = false;
-    parser_ = std::make_unique<AnswerParser>([this](absl::string_view piece) { TakeBody(piece); });
-    head_given_ = false;
+    parser_ =
+        std::make_unique<AnswerParser>([this](absl::string_view piece) { DeliverBody(piece); });
+    head_delivered_ = false;
     if (connected_) {
       Write();
       return;
@@ -80,10 +82,10 @@
     timer_->Cancel();
     boost::system::error_code ignored;
     socket_.close(ignored);
-    RemoveFromKept();
+    RemoveFromPool();
   }
 
-  // Closes by a reset, so that nothing that is still on this side arrives later.
+  // Closes with a TCP reset, so that no unsent byte is delivered later.
   void Reset() {
     boost::system::error_code ignored;
     socket_.set_option(boost::asio::socket_base::linger(true, 0), ignored);
@@ -182,7 +184,7 @@
       return;
     }
     if (exchange_ == nullptr) {
-      // Kept without a request: an end, or bytes that belong to no request.
+      // The connection is idle: the peer closed it, or sent bytes that belong to no request.
       Close();
       return;
     }
@@ -195,8 +197,8 @@
     Read();
   }
 
-  void OnConnectionEnd(bool in_good_order) {
-    if (in_good_order) {
+  void OnConnectionEnd(bool orderly) {
+    if (orderly) {
       parser_->FeedEnd();
       if (parser_->complete()) {
         End(ExchangeResult::kComplete);
@@ -207,20 +209,20 @@
   }
 
   void Feed(absl::string_view bytes);
-  void TakeBody(absl::string_view piece);
-  bool GiveHead();
+  void DeliverBody(absl::string_view piece);
+  bool DeliverHead();
   void End(ExchangeResult result);
 
-  // The answer is whole: the connection is kept when both sides allow it.
+  // The answer is complete; the connection is reused if both sides allow it.
   void Complete(bool surplus) {
     const AnswerHead& head = parser_->head();
-    may_keep_ = head.keep_alive && !surplus && written_;
+    reusable_ = head.keep_alive && !surplus && written_;
     ReadKeepAlive(head);
     End(ExchangeResult::kComplete);
   }
 
   void ReadKeepAlive(const AnswerHead& head) {
-    keep_for_ = pool_->limits.idle_timeout;
+    idle_timeout_ = pool_->limits.idle_timeout;
     const std::string* const value = FindField(head.fields, "Keep-Alive");
     if (value == nullptr) {
       return;
@@ -230,30 +232,30 @@
       int seconds = 0;
       if (absl::StripAsciiWhitespace(pair.first) == "timeout" &&
           absl::SimpleAtoi(pair.second, &seconds)) {
-        keep_for_ = std::min(keep_for_, absl::Seconds(seconds) * kUsablePartOfKeepAlive);
+        idle_timeout_ = std::min(idle_timeout_, absl::Seconds(seconds) * kKeepAliveFraction);
       }
     }
   }
 
-  void Release() {
-    timer_->Set(pool_->loop->Now() + keep_for_, [weak = weak_from_this()] {
+  void ReturnToPool() {
+    timer_->Set(pool_->loop->Now() + idle_timeout_, [weak = weak_from_this()] {
       if (const auto self = weak.lock()) {
         self->Close();
       }
     });
-    pool_->kept[address_].push_back(shared_from_this());
+    pool_->idle[address_].push_back(shared_from_this());
     Read();
   }
 
-  void RemoveFromKept() {
-    const auto entry = pool_->kept.find(address_);
-    if (entry == pool_->kept.end()) {
+  void RemoveFromPool() {
+    const auto entry = pool_->idle.find(address_);
+    if (entry == pool_->idle.end()) {
       return;
     }
     entry->second.remove_if(
-        [this](const std::shared_ptr<Connection>& kept) { return kept.get() == this; });
+        [this](const std::shared_ptr<Connection>& idle) { return idle.get() == this; });
     if (entry->second.empty()) {
-      pool_->kept.erase(entry);
+      pool_->idle.erase(entry);
     }
   }
 
@@ -262,17 +264,17 @@
   tcp::socket socket_;
   std::unique_ptr<LoopTimer> timer_;
   std::unique_ptr<AnswerParser> parser_;
-  std::array<char, kReadSize> buffer_;
+  std::array<char, kReadBufferBytes> buffer_;
   std::string message_;
   Exchange* exchange_ = nullptr;
-  absl::Duration keep_for_;
+  absl::Duration idle_timeout_;
   bool connected_ = false;
   bool written_ = false;
   bool reading_ = false;
   bool paused_ = false;
   bool received_any_ = false;
-  bool head_given_ = false;
-  bool may_keep_ = false;
+  bool head_delivered_ = false;
+  bool reusable_ = false;
   bool closed_ = false;
 };
 
@@ -335,13 +337,14 @@
     End(ExchangeResult::kMalformed);
     return;
   }
-  // An interim answer (1xx) is followed by the answer itself.
+  // An interim answer (1xx) is followed by the final one.
   if (parser_->complete() && parser_->head().status / 100 == 1) {
-    parser_ = std::make_unique<AnswerParser>([this](absl::string_view piece) { TakeBody(piece); });
+    parser_ =
+        std::make_unique<AnswerParser>([this](absl::string_view piece) { DeliverBody(piece); });
     Feed(bytes.substr(taken));
     return;
   }
-  if (parser_->head_complete() && !GiveHead()) {
+  if (parser_->head_complete() && !DeliverHead()) {
     return;
   }
   if (parser_->complete()) {
@@ -349,11 +352,11 @@
   }
 }
 
-bool Connection::GiveHead() {
-  if (head_given_) {
+bool Connection::DeliverHead() {
+  if (head_delivered_) {
     return true;
   }
-  head_given_ = true;
+  head_delivered_ = true;
   if (exchange_ != nullptr && !exchange_->Head(parser_->head())) {
     End(ExchangeResult::kMalformed);
     return false;
@@ -361,8 +364,8 @@
   return exchange_ != nullptr;
 }
 
-void Connection::TakeBody(absl::string_view piece) {
-  if (closed_ || exchange_ == nullptr || !GiveHead()) {
+void Connection::DeliverBody(absl::string_view piece) {
+  if (closed_ || exchange_ == nullptr || !DeliverHead()) {
     return;
   }
   exchange_->Body(piece);
@@ -371,10 +374,10 @@
 void Connection::End(ExchangeResult result) {
   const std::shared_ptr<Connection> self = shared_from_this();
   Exchange* const exchange = std::exchange(exchange_, nullptr);
-  const bool keep = result == ExchangeResult::kComplete && may_keep_ && !closed_;
-  may_keep_ = false;
+  const bool keep = result == ExchangeResult::kComplete && reusable_ && !closed_;
+  reusable_ = false;
   if (keep) {
-    Release();
+    ReturnToPool();
   } else {
     Close();
   }
@@ -396,9 +399,9 @@
 }
 
 HttpClient::~HttpClient() {
-  auto kept = std::move(implementation_->pool->kept);
-  implementation_->pool->kept.clear();
-  for (auto& [address, connections] : kept) {
+  auto idle = std::move(implementation_->pool->idle);
+  implementation_->pool->idle.clear();
+  for (auto& [address, connections] : idle) {
     for (const std::shared_ptr<Connection>& connection : connections) {
       connection->Close();
     }
@@ -409,13 +412,13 @@
                                                  AnswerReceiver* receiver) {
   const std::shared_ptr<Pool>& pool = implementation_->pool;
   std::shared_ptr<Connection> connection;
-  const auto entry = pool->kept.find(address);
-  if (entry != pool->kept.end()) {
-    // The one used last: the others may then close for want of use.
+  const auto entry = pool->idle.find(address);
+  if (entry != pool->idle.end()) {
+    // Reuses the most recently used connection, so that the others can time out.
     connection = entry->second.back();
     entry->second.pop_back();
     if (entry->second.empty()) {
-      pool->kept.erase(entry);
+      pool->idle.erase(entry);
     }
   } else {
     connection = std::make_shared<Connection>(pool, address);
@@ -430,18 +433,18 @@
   return entry == implementation_->pool->open.end() ? 0 : entry->second;
 }
 
-std::size_t HttpClient::kept_connections(const std::string& address) const {
-  const auto entry = implementation_->pool->kept.find(address);
-  return entry == implementation_->pool->kept.end() ? 0 : entry->second.size();
+std::size_t HttpClient::idle_connections(const std::string& address) const {
+  const auto entry = implementation_->pool->idle.find(address);
+  return entry == implementation_->pool->idle.end() ? 0 : entry->second.size();
 }
 
-void HttpClient::Forget(const std::string& address) {
-  const auto entry = implementation_->pool->kept.find(address);
-  if (entry == implementation_->pool->kept.end()) {
+void HttpClient::CloseIdleConnections(const std::string& address) {
+  const auto entry = implementation_->pool->idle.find(address);
+  if (entry == implementation_->pool->idle.end()) {
     return;
   }
   const auto connections = std::move(entry->second);
-  implementation_->pool->kept.erase(entry);
+  implementation_->pool->idle.erase(entry);
   for (const std::shared_ptr<Connection>& connection : connections) {
     connection->Close();
   }
--- a/src/http/http_server.cc
+++ b/src/http/http_server.cc
@@ -29,15 +29,15 @@
             return;
           }
           if (!error) {
-            self->Take(std::move(socket));
+            self->StartConnection(std::move(socket));
           }
           self->Accept();
         });
   }
 
-  void Take(tcp::socket socket) {
+  void StartConnection(tcp::socket socket) {
     if (shared->connections.size() >= shared->limits.max_connections) {
-      return;  // The socket closes: nothing was read of it.
+      return;  // Destroying the socket closes it before anything was read from it.
     }
     StartServerConnection(shared, std::move(socket));
   }
--- a/src/http/message_parser.cc
+++ b/src/http/message_parser.cc
@@ -25,14 +25,14 @@
   return ParseFault::kMalformed;
 }
 
-// Beast's events, with what both directions have in common.
+// Base of both parsers: feeds Beast's parser and collects header fields.
 template <bool kIsRequest>
 class CommonParser : public http::basic_parser<kIsRequest> {
  public:
   using Base = http::basic_parser<kIsRequest>;
 
-  // Beast leaves bytes that it can't use yet, e.g. half a chunk's head; they are kept for the next
-  // call.
+  // Beast does not consume input that is still incomplete, e.g. half a chunk header; such bytes are
+  // kept for the next call. Returns the number of bytes consumed.
   std::size_t FeedAll(absl::string_view bytes) {
     pending_.append(bytes.data(), bytes.size());
     std::size_t taken = 0;
@@ -56,9 +56,9 @@
     if (!this->is_done()) {
       return bytes.size();
     }
-    const std::size_t behind = pending_.size();
+    const std::size_t surplus = pending_.size();
     pending_.clear();
-    return bytes.size() - behind;
+    return bytes.size() - surplus;
   }
 
   ParseFault fault() const { return fault_; }
@@ -70,16 +70,16 @@
   void on_body_init_impl(const boost::optional<std::uint64_t>&, BeastError&) override {}
   void on_chunk_header_impl(std::uint64_t, BeastView, BeastError&) override {}
   std::size_t on_chunk_body_impl(std::uint64_t, BeastView body, BeastError&) override {
-    TakeBody(absl::string_view(body.data(), body.size()));
+    OnBodyBytes(absl::string_view(body.data(), body.size()));
     return body.size();
   }
   std::size_t on_body_impl(BeastView body, BeastError&) override {
-    TakeBody(absl::string_view(body.data(), body.size()));
+    OnBodyBytes(absl::string_view(body.data(), body.size()));
     return body.size();
   }
   void on_finish_impl(BeastError&) override {}
 
-  virtual void TakeBody(absl::string_view body) = 0;
+  virtual void OnBodyBytes(absl::string_view body) = 0;
 
   HeaderFields fields_;
   std::string pending_;
@@ -109,7 +109,7 @@
     head.fields = std::move(fields_);
     head.keep_alive = this->keep_alive();
   }
-  void TakeBody(absl::string_view piece) override { body.append(piece.data(), piece.size()); }
+  void OnBodyBytes(absl::string_view piece) override { body.append(piece.data(), piece.size()); }
 };
 
 RequestParser::RequestParser(const MessageLimits& limits)
@@ -158,7 +158,7 @@
     }
     head.ends_with_connection = this->need_eof();
   }
-  void TakeBody(absl::string_view piece) override { on_body_(piece); }
+  void OnBodyBytes(absl::string_view piece) override { on_body_(piece); }
 
  private:
   std::function<void(absl::string_view)> on_body_;
--- a/src/http/server_connection.cc
+++ b/src/http/server_connection.cc
@@ -15,10 +15,11 @@
 
 using boost::asio::ip::tcp;
 
-constexpr std::size_t kReadSize = 8 * 1024;
-// A caller that sends more than this behind an unanswered request is not read any further.
-constexpr std::size_t kMaxBufferedAhead = 64 * 1024;
-// How long a connection that was answered with a fault is read on, so that the answer arrives.
+constexpr std::size_t kReadBufferBytes = 8 * 1024;
+// Reading pauses once a caller has sent this many bytes after an unanswered request.
+constexpr std::size_t kMaxUnparsedBytes = 64 * 1024;
+// Time for which input is still read and discarded after the last answer, so that the answer
+// arrives.
 constexpr absl::Duration kLingerTime = absl::Milliseconds(500);
 
 class Connection;
@@ -37,7 +38,9 @@
   const RequestHead& head() const override { return head_; }
   const std::string& body() const override { return body_; }
   absl::Time received() const override { return received_; }
-  void OnCallerGone(std::function<void()> callback) override { on_gone_ = std::move(callback); }
+  void OnCallerGone(std::function<void()> callback) override {
+    on_caller_gone_ = std::move(callback);
+  }
   void OnDrained(std::function<void()> callback) override { on_drained_ = std::move(callback); }
   std::size_t pending_bytes() const override;
   void Answer(int status, absl::string_view reason, const HeaderFields& fields,
@@ -47,9 +50,9 @@
   void FinishChunked() override;
   void Abort() override;
 
-  // Called by the connection.
-  void CallerGone();
-  void Drained();
+  // The following two are called by the connection.
+  void HandleDisconnect();
+  void HandleDrained();
 
  private:
   std::string HeadText(int status, absl::string_view reason, const HeaderFields& fields);
@@ -60,7 +63,7 @@
   RequestHead head_;
   std::string body_;
   absl::Time received_;
-  std::function<void()> on_gone_;
+  std::function<void()> on_caller_gone_;
   std::function<void()> on_drained_;
   bool close_after_ = false;
 };
@@ -85,23 +88,23 @@
   }
 
   bool has_input() const { return !input_.empty(); }
-  std::size_t pending_bytes() const { return writing_.size() - written_ + waiting_.size(); }
+  std::size_t pending_bytes() const { return writing_.size() - bytes_written_ + queued_.size(); }
 
   void AddTo(ServerActivity* activity) const override {
     if (closed_) {
       return;
     }
-    // What an ending connection has in the system includes the end of the stream.
-    const std::size_t unsent = pending_bytes() + (ending_ ? 0 : system_bytes());
+    // For a lingering connection the kernel's count includes the FIN, so it is left out.
+    const std::size_t unsent = pending_bytes() + (lingering_ ? 0 : unacknowledged_bytes());
     activity->unsent_bytes += unsent;
     boost::system::error_code ignored;
     activity->unread_bytes += input_.size() + socket_.available(ignored);
-    const bool to_parse = !input_.empty() && !close_when_written_;
-    if (exchange_open_ || to_parse) {
+    const bool has_unparsed = !input_.empty() && !close_when_written_;
+    if (exchange_open_ || has_unparsed) {
       ++activity->answering;
     } else if (unsent > 0) {
       ++activity->sending;
-    } else if (ending_) {
+    } else if (lingering_) {
       ++activity->closing;
     } else {
       ++activity->idle;
@@ -112,13 +115,13 @@
     if (closed_) {
       return;
     }
-    waiting_.append(bytes.data(), bytes.size());
+    queued_.append(bytes.data(), bytes.size());
     if (writing_.empty()) {
-      WriteWaiting();
+      StartWrite();
     }
   }
 
-  // The current exchange is answered in full.
+  // Called when the answer of the current exchange is complete.
   void EndExchange(bool close) {
     current_.reset();
     exchange_open_ = false;
@@ -127,13 +130,13 @@
     if (close) {
       close_when_written_ = true;
       timer_->Cancel();
-      if (writing_.empty() && waiting_.empty()) {
-        CloseInOrder();
+      if (writing_.empty() && queued_.empty()) {
+        CloseGracefully();
       }
       return;
     }
     WaitForRequest();
-    // Not within this call: the handler that answered may still be running.
+    // Posted, because the handler that answered may still be running.
     server_->loop->Post([self = shared_from_this()] {
       self->Parse();
       self->Read();
@@ -144,24 +147,24 @@
     if (closed_) {
       return;
     }
-    // Unsent bytes and a reset: the caller sees a broken answer, never a whole one.
-    waiting_.clear();
+    // Drops unsent bytes, so that the caller sees a broken answer, never a complete one.
+    queued_.clear();
     Close();
   }
 
  private:
   void WaitForRequest() {
     timer_->Set(server_->loop->Now() + server_->limits.idle_timeout,
-                [weak = weak_from_this(), unsent = pending_bytes() + system_bytes()] {
+                [weak = weak_from_this(), unsent = pending_bytes() + unacknowledged_bytes()] {
                   if (const auto self = weak.lock()) {
-                    self->OnIdleTime(unsent);
+                    self->OnIdleTimeout(unsent);
                   }
                 });
   }
 
-  // A caller that is still taking the last answer is not idle.
-  void OnIdleTime(std::size_t unsent_before) {
-    const std::size_t unsent = pending_bytes() + system_bytes();
+  // A caller that is still receiving the last answer is not idle.
+  void OnIdleTimeout(std::size_t unsent_before) {
+    const std::size_t unsent = pending_bytes() + unacknowledged_bytes();
     if (unsent > 0 && unsent < unsent_before) {
       WaitForRequest();
       return;
@@ -169,16 +172,16 @@
     Close();
   }
 
-  // Written to the system, and not acknowledged by the caller's.
-  std::size_t system_bytes() const {
+  // Bytes in the kernel's send queue that the caller's kernel has not acknowledged.
+  std::size_t unacknowledged_bytes() const {
     int count = 0;
     const bool known = ioctl(socket_.native_handle(), SIOCOUTQ, &count) == 0 && count > 0;
     return known ? static_cast<std::size_t>(count) : 0;
   }
 
   void Read() {
-    if (reading_ || closed_ || (close_when_written_ && !ending_) ||
-        input_.size() >= kMaxBufferedAhead) {
+    if (reading_ || closed_ || (close_when_written_ && !lingering_) ||
+        input_.size() >= kMaxUnparsedBytes) {
       return;
     }
     reading_ = true;
@@ -189,13 +192,13 @@
                        });
   }
 
-  // Reads here and not in the reactor: a request that was read is counted before any other handler
-  // runs.
+  // Reads here rather than in Asio's reactor, so that a request is counted in ServerActivity before
+  // any other handler runs.
   void OnReadable(boost::system::error_code error) {
     if (closed_) {
       return;
     }
-    std::array<char, kReadSize> buffer;
+    std::array<char, kReadBufferBytes> buffer;
     std::size_t count = 0;
     if (!error) {
       count = socket_.read_some(boost::asio::buffer(buffer), error);
@@ -280,13 +283,13 @@
     server_->handler(std::move(exchange));
   }
 
-  void WriteWaiting() {
-    writing_.swap(waiting_);
+  void StartWrite() {
+    writing_.swap(queued_);
     const auto self = shared_from_this();
     boost::asio::async_write(
         socket_, boost::asio::buffer(writing_),
         [self](const boost::system::error_code& error, std::size_t written) {
-          self->written_ = written;
+          self->bytes_written_ = written;
           return boost::asio::transfer_all()(error, written);
         },
         [self](const boost::system::error_code& error, std::size_t) { self->OnWritten(error); });
@@ -294,7 +297,7 @@
 
   void OnWritten(const boost::system::error_code& error) {
     writing_.clear();
-    written_ = 0;
+    bytes_written_ = 0;
     if (closed_) {
       return;
     }
@@ -302,28 +305,28 @@
       Close();
       return;
     }
-    if (!waiting_.empty()) {
-      WriteWaiting();
+    if (!queued_.empty()) {
+      StartWrite();
       return;
     }
     if (close_when_written_) {
-      CloseInOrder();
+      CloseGracefully();
       return;
     }
     if (const auto exchange = current_.lock()) {
-      exchange->Drained();
+      exchange->HandleDrained();
     } else if (!exchange_open_ && !head_timer_running_) {
       WaitForRequest();
     }
   }
 
-  // Sends the end of the stream and reads what still comes for a moment: closing with unread bytes
-  // would reset the connection and may take the answer with it.
-  void CloseInOrder() {
-    if (closed_ || ending_) {
+  // Shuts down the sending side and discards further input until kLingerTime: closing a socket
+  // with unread input would reset the connection, and the caller could lose the answer.
+  void CloseGracefully() {
+    if (closed_ || lingering_) {
       return;
     }
-    ending_ = true;
+    lingering_ = true;
     boost::system::error_code ignored;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
     timer_->Set(server_->loop->Now() + kLingerTime, [weak = weak_from_this()] {
@@ -345,28 +348,30 @@
     socket_.close(ignored);
     if (const auto exchange = current_.lock()) {
       current_.reset();
-      exchange->CallerGone();
+      exchange->HandleDisconnect();
     }
   }
 
   std::shared_ptr<ServerState> server_;
-  // Mutable: its handle can't be had of a const one.
+  // Mutable because native_handle() is not const.
   mutable tcp::socket socket_;
   std::unique_ptr<LoopTimer> timer_;
   std::unique_ptr<RequestParser> parser_;
-  // Read but not parsed yet.
+  // Bytes read but not parsed yet.
   std::string input_;
+  // Bytes of the write in progress.
   std::string writing_;
-  // How much of `writing_` the system has taken.
-  std::size_t written_ = 0;
-  std::string waiting_;
+  // Number of bytes of `writing_` that the kernel has accepted.
+  std::size_t bytes_written_ = 0;
+  // Bytes to write after the write in progress.
+  std::string queued_;
   std::weak_ptr<Exchange> current_;
   absl::Time received_;
   bool reading_ = false;
   bool exchange_open_ = false;
   bool head_timer_running_ = false;
   bool close_when_written_ = false;
-  bool ending_ = false;
+  bool lingering_ = false;
   bool closed_ = false;
 };
 
@@ -381,7 +386,7 @@
 }
 
 std::string Exchange::HeadText(int status, absl::string_view reason, const HeaderFields& fields) {
-  // Requests behind an answer that closes are dropped: those already read are answered before.
+  // Requests after a closing answer are dropped, so those already read must be answered first.
   close_after_ = !head_.keep_alive || (server_->ask_to_close && !connection_->has_input());
   std::string text = absl::StrCat("HTTP/1.1 ", status, " ", reason, "\r\n");
   for (const HeaderField& field : fields) {
@@ -434,22 +439,22 @@
   }
   const std::shared_ptr<Connection> connection = std::move(connection_);
   connection_ = nullptr;
-  on_gone_ = nullptr;
+  on_caller_gone_ = nullptr;
   on_drained_ = nullptr;
   connection->Abort();
 }
 
-void Exchange::CallerGone() {
+void Exchange::HandleDisconnect() {
   connection_ = nullptr;
   on_drained_ = nullptr;
-  const std::function<void()> callback = std::move(on_gone_);
-  on_gone_ = nullptr;
+  const std::function<void()> callback = std::move(on_caller_gone_);
+  on_caller_gone_ = nullptr;
   if (callback) {
     callback();
   }
 }
 
-void Exchange::Drained() {
+void Exchange::HandleDrained() {
   if (on_drained_) {
     on_drained_();
   }
@@ -458,7 +463,7 @@
 void Exchange::Done() {
   const std::shared_ptr<Connection> connection = std::move(connection_);
   connection_ = nullptr;
-  on_gone_ = nullptr;
+  on_caller_gone_ = nullptr;
   on_drained_ = nullptr;
   connection->EndExchange(close_after_);
 }
--- a/tests/http/http_client_test.cc
+++ b/tests/http/http_client_test.cc
@@ -17,14 +17,14 @@
  public:
   bool OnHead(const AnswerHead& answer) override {
     status = answer.status;
-    return wanted;
+    return accept;
   }
   void OnBody(absl::string_view piece) override { body.append(piece.data(), piece.size()); }
   void OnEnd(ExchangeResult end) override {
     result = end;
     ended = true;
   }
-  bool wanted = true;
+  bool accept = true;
   int status = 0;
   std::string body;
   ExchangeResult result = ExchangeResult::kBroken;
@@ -53,7 +53,7 @@
   std::vector<std::unique_ptr<ClientExchange>> exchanges;
 };
 
-TEST_CASE("a connection is kept and used again") {
+TEST_CASE("an idle connection is reused") {
   Fixture fixture;
   for (int number = 0; number < 3; ++number) {
     Receiver receiver;
@@ -66,26 +66,26 @@
   CHECK(fixture.server.connections() == 1);
 }
 
-TEST_CASE("an answer that is not wanted ends its connection") {
+TEST_CASE("an answer that the receiver rejects closes its connection") {
   Fixture fixture;
   Receiver receiver;
-  receiver.wanted = false;
+  receiver.accept = false;
   fixture.Ask(&receiver, "/", "abc");
   REQUIRE(fixture.Wait([&] { return receiver.ended; }));
   CHECK(receiver.result == ExchangeResult::kMalformed);
-  CHECK(fixture.client.kept_connections(fixture.server.address()) == 0);
+  CHECK(fixture.client.idle_connections(fixture.server.address()) == 0);
 }
 
-TEST_CASE("nobody listening is: not sent") {
+TEST_CASE("a request to a port without a listener ends as not sent") {
   Fixture fixture;
   Receiver receiver;
-  // Port 1 of the loopback: nothing listens there.
+  // Nothing listens on port 1 of the loopback address.
   const auto exchange = fixture.client.Send("127.0.0.1:1", "GET / HTTP/1.1\r\n\r\n", &receiver);
   REQUIRE(fixture.Wait([&] { return receiver.ended; }));
   CHECK(receiver.result == ExchangeResult::kNotSent);
 }
 
-TEST_CASE("a server that aborts is: broken") {
+TEST_CASE("a request that the server aborts ends as broken") {
   Fixture fixture;
   Receiver receiver;
   fixture.Ask(&receiver, "/hold", "");
@@ -95,7 +95,7 @@
   CHECK(receiver.result == ExchangeResult::kBroken);
 }
 
-TEST_CASE("a cancelled exchange is seen by the server as the caller's leave") {
+TEST_CASE("the server sees a cancelled exchange as a disconnected caller") {
   Fixture fixture;
   Receiver receiver;
   fixture.Ask(&receiver, "/hold", "");
@@ -107,7 +107,7 @@
   CHECK(!receiver.ended);
 }
 
-TEST_CASE("a chunked answer that is aborted does not look whole") {
+TEST_CASE("an aborted chunked answer is not reported as complete") {
   Fixture fixture;
   Receiver receiver;
   fixture.Ask(&receiver, "/hold", "");
@@ -120,7 +120,7 @@
   CHECK(receiver.result == ExchangeResult::kBroken);
 }
 
-TEST_CASE("a server that is asked to close says so and ends the connection after the answer") {
+TEST_CASE("after AskToClose the server closes the connection once the answer is sent") {
   Fixture fixture;
   fixture.server.AskToClose();
   Receiver receiver;
--- a/tests/http/http_server_test.cc
+++ b/tests/http/http_server_test.cc
@@ -17,7 +17,7 @@
 constexpr const char* kLastRequest = "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
 
 struct Fixture {
-  // Without a handler the last request is held.
+  // The default handler keeps the last request unanswered in `held`.
   explicit Fixture(HttpServer::Handler handler = nullptr)
       : server(
             &loop, handler ? std::move(handler) : [this](std::shared_ptr<ServerExchange> exchange) {
@@ -32,7 +32,7 @@
   HttpServer server;
 };
 
-TEST_CASE("a connection counts as idle, answering, sending, closing, one after the other") {
+TEST_CASE("a connection passes through the states idle, answering, sending and closing") {
   Fixture fixture;
   HttpServer& server = fixture.server;
   RawClient caller(server.address());
@@ -52,7 +52,7 @@
   CHECK(fixture.Wait([&] { return server.connections() == 0; }));
 }
 
-TEST_CASE("bytes of a caller that nobody has parsed are counted") {
+TEST_CASE("received bytes that were not parsed yet are counted") {
   Fixture fixture;
   RawClient caller(fixture.server.address());
   REQUIRE(caller.Send(kRequest));
--- a/tests/http/message_parser_test.cc
+++ b/tests/http/message_parser_test.cc
@@ -12,19 +12,19 @@
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     "5\r\nhello\r\n6\r\n world\r\n0\r\n\r\n";
 
-// Feeds `text` cut at `cuts`; returns the number of bytes behind the message.
+// Feeds `text` in pieces of `piece` bytes; returns the number of bytes after the message.
 template <typename Parser>
 std::size_t FeedInPieces(Parser* parser, const std::string& text, std::size_t piece) {
-  std::size_t behind = 0;
+  std::size_t surplus = 0;
   for (std::size_t begin = 0; begin < text.size(); begin += piece) {
     const std::string part = text.substr(begin, piece);
     const std::size_t taken = parser->Feed(part);
-    behind += part.size() - taken;
+    surplus += part.size() - taken;
   }
-  return behind;
+  return surplus;
 }
 
-TEST_CASE("a chunked answer is the same however its bytes are cut") {
+TEST_CASE("a chunked answer is parsed the same however its bytes are split") {
   const std::string text = kChunkedAnswer;
   for (std::size_t piece = 1; piece <= text.size(); ++piece) {
     CAPTURE(piece);
@@ -37,7 +37,7 @@
   }
 }
 
-TEST_CASE("bytes behind a whole answer are left") {
+TEST_CASE("bytes after a complete answer are not consumed") {
   std::string body;
   AnswerParser parser([&](absl::string_view part) { body.append(part.data(), part.size()); });
   const std::string text = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200";
@@ -46,7 +46,7 @@
   CHECK(body == "ok");
 }
 
-TEST_CASE("an answer without a length is whole only when its connection ends in good order") {
+TEST_CASE("an answer without a length is complete only after an orderly close") {
   std::string body;
   AnswerParser parser([&](absl::string_view part) { body.append(part.data(), part.size()); });
   parser.Feed("HTTP/1.1 200 OK\r\n\r\nabc");
@@ -56,14 +56,14 @@
   CHECK(parser.complete());
 }
 
-TEST_CASE("an answer with a length that ends early is not whole") {
+TEST_CASE("an answer shorter than its Content-Length is not complete") {
   AnswerParser parser([](absl::string_view) {});
   parser.Feed("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc");
   parser.FeedEnd();
   CHECK(!parser.complete());
 }
 
-TEST_CASE("requests: faults by what is wrong") {
+TEST_CASE("invalid requests are reported with the matching fault") {
   const MessageLimits limits{200, 10};
   const auto fault_of = [&](const std::string& text) {
     RequestParser parser(limits);
@@ -80,7 +80,7 @@
   CHECK(fault_of("nonsense\r\n\r\n") == ParseFault::kMalformed);
 }
 
-TEST_CASE("requests: any cut of the bytes gives the same request") {
+TEST_CASE("a request is parsed the same however its bytes are split") {
   CHECK(rc::check("requests cut anywhere", [] {
     const auto body = *rc::gen::container<std::string>(rc::gen::inRange('a', 'z'));
     const auto piece = *rc::gen::inRange<std::size_t>(1, 40);
