--- a/tests/platform/deployment_rows_test.cc
+++ b/tests/platform/deployment_rows_test.cc
@@ -21,7 +21,7 @@
  "limits":{"max_header_bytes":16384,"max_body_bytes":4194304,"header_timeout_ms":3000,
    "idle_timeout_ms":15000},"unknown":1})";
 
-TEST_CASE("a configuration") {
+TEST_CASE("a configuration row is parsed") {
   const auto read = DeploymentRows().ReadConfiguration({"op", "config", kConfiguration, 3, false});
   REQUIRE(read.ok());
   CHECK(read->version == 7);
@@ -39,7 +39,7 @@
   CHECK(read->limits.idle_timeout == absl::Seconds(15));
 }
 
-TEST_CASE("what is no configuration is an error, never a part of one") {
+TEST_CASE("a malformed configuration is an error and is never read in part") {
   for (const char* const text :
        {"", "{", "[]", R"({"version":1})", R"({"version":"x","routes":[]})",
         R"({"version":1,"routes":[{}],"services":[]})"}) {
@@ -48,7 +48,7 @@
   }
 }
 
-TEST_CASE("a worker's record") {
+TEST_CASE("a worker's record is parsed") {
   const auto read = DeploymentRows().ReadWorker(
       {"servers", "i-1",
        R"({"service":"s1","address":"10.0.0.1:80","zone":"z","slots":64,"state":"draining",
--- a/tests/platform/json_call_test.cc
+++ b/tests/platform/json_call_test.cc
@@ -13,7 +13,7 @@
 constexpr absl::Duration kLimit = absl::Seconds(30);
 constexpr absl::Duration kTimeout = absl::Seconds(2);
 
-// A server whose answer comes in pieces, or not at all.
+// A server that answers in pieces, or not at all.
 struct Fixture {
   Fixture() { REQUIRE(!server.Listen("127.0.0.1:0")); }
 
@@ -52,16 +52,16 @@
   HttpClient client{&loop, ClientLimits{}};
 };
 
-TEST_CASE("an answer that goes on coming is not given up") {
+TEST_CASE("an answer that keeps arriving does not time out") {
   Fixture fixture;
-  // Takes longer than the timeout as a whole.
+  // The whole answer takes longer than the timeout.
   fixture.pieces_left = 5;
   const auto answer = fixture.Ask();
   REQUIRE(answer.ok());
   CHECK(answer->body == "[1][1][1][1][1]");
 }
 
-TEST_CASE("a silent server is given up") {
+TEST_CASE("a call to a silent server times out") {
   Fixture fixture;
   const auto answer = fixture.Ask();
   REQUIRE(!answer.ok());
--- a/tests/platform/request_fields_test.cc
+++ b/tests/platform/request_fields_test.cc
@@ -29,7 +29,7 @@
   return value == nullptr ? "-" : *value;
 }
 
-TEST_CASE("a request's facts") {
+TEST_CASE("the fields of a request are parsed") {
   const RequestFacts facts = RequestFields().ReadRequest(Head());
   CHECK(facts.id == "id1");
   CHECK(facts.deadline == absl::Milliseconds(1500));
@@ -43,14 +43,14 @@
   CHECK(facts.last_event_id == "12");
 }
 
-TEST_CASE("a request without any of the fields") {
+TEST_CASE("a request without any of the fields is accepted") {
   const RequestFacts facts = RequestFields().ReadRequest(RequestHead{});
   CHECK(facts.id.empty());
   CHECK(!facts.deadline.has_value());
   CHECK(facts.model.empty());
 }
 
-TEST_CASE("an attempt carries the caller's fields, what is left of the time and the worker meant") {
+TEST_CASE("an attempt carries the caller's fields, the remaining time and the expected worker") {
   const HeaderFields fields =
       RequestFields().AttemptFields(Head(), {"w1", absl::Milliseconds(700), 2, ""});
   CHECK(Value(fields, "Attempt-Id") == "id1");
@@ -69,7 +69,7 @@
   CHECK(deadlines == 1);
 }
 
-TEST_CASE("a resumed attempt names the last whole event and nothing else does") {
+TEST_CASE("a resumed attempt carries exactly one Last-Event-Id, that of the last complete event") {
   const HeaderFields fields =
       RequestFields().AttemptFields(Head(), {"w1", absl::Milliseconds(700), 2, "31"});
   int names = 0;
@@ -80,7 +80,7 @@
   CHECK(Value(fields, "Last-Event-Id") == "31");
 }
 
-TEST_CASE("what an answer says") {
+TEST_CASE("the fields of an answer are parsed") {
   AnswerHead head;
   head.status = 503;
   head.fields = {{"Not-Executed", "1"}};
