--- a/tests/stop/gateway_stop_limit_test.cc
+++ b/tests/stop/gateway_stop_limit_test.cc
@@ -1,4 +1,4 @@
-// Stops a node that has an event loop of its own and does not run at its stop limit for a moment.
+// Stops a node whose own event loop is stalled around its stop limit.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -15,11 +15,12 @@
 namespace {
 
 constexpr absl::Duration kLimit = absl::Seconds(20);
-constexpr absl::Duration kTurn = absl::Milliseconds(1);
+constexpr absl::Duration kTimeSlice = absl::Milliseconds(1);
 constexpr int kRequests = 100;
 constexpr int kWorkers = 4;
-// Of kTestStopTime. What is open is answered 400 ms before its end, the process ends 250 ms before
-// it, and in between a check is due each 50 ms.
+// Start and end of the stall, relative to the begin of the stop. Open requests are answered 400 ms
+// before the end of kTestStopTime, the process exits 250 ms before it, and in between a check runs
+// every 50 ms.
 const absl::Duration kStallBegins = kTestStopTime - absl::Milliseconds(460);
 const absl::Duration kStallEnds = kTestStopTime - absl::Milliseconds(240);
 
@@ -30,20 +31,20 @@
   TestNode node;
 };
 
-// Runs both loops by turns.
+// Runs both loops alternately until `done` returns true; returns false on the limit.
 bool WaitBoth(GatewayWorld* world, SeparateNode* node, const std::function<bool()>& done) {
   const absl::Time end = world->loop.Now() + kLimit;
   while (!done()) {
     if (world->loop.Now() >= end) {
       return false;
     }
-    node->loop.RunUntil(done, kTurn);
-    world->loop.RunUntil(done, kTurn);
+    node->loop.RunUntil(done, kTimeSlice);
+    world->loop.RunUntil(done, kTimeSlice);
   }
   return true;
 }
 
-// As many requests as `kRequests` at workers that say nothing.
+// Starts `kRequests` requests at workers that never answer.
 struct OpenRequests {
   OpenRequests() {
     for (int number = 0; number < kWorkers; ++number) {
@@ -73,8 +74,8 @@
     }));
   }
 
-  // Ends the node as the end of its process does. Returns how many callers got a whole answer.
-  int End() {
+  // Simulates the exit of the node's process. Returns the number of callers with a complete answer.
+  int EndProcess() {
     node.reset();
     REQUIRE(world.Wait([&] { return std::ranges::all_of(calls, &IsEnded); }));
     return static_cast<int>(std::ranges::count_if(
@@ -95,12 +96,12 @@
   REQUIRE(WaitBoth(&open.world, open.node.get(), [&] { return stopped; }));
   const std::string last_line = open.node->node.LogLines().back();
   INFO(last_line);
-  CHECK(open.End() == kRequests);
+  CHECK(open.EndProcess() == kRequests);
 }
 
-// Guards against a stop's check that comes due before the requests' limit, runs after it and ends
-// the process ahead of their answers.
-TEST_CASE("requests open at the stop limit are answered by a node that was held up there") {
+// Guards against a stop check that becomes due before the requests' limit, but runs after it and
+// ends the process before the requests are answered.
+TEST_CASE("requests open at the stop limit are answered by a node that was stalled there") {
   OpenRequests open;
   bool stopped = false;
   open.node->node.gateway.Stop([&] { stopped = true; });
@@ -114,7 +115,7 @@
   REQUIRE(WaitBoth(&open.world, open.node.get(), [&] { return stopped; }));
   const std::string last_line = open.node->node.LogLines().back();
   INFO(last_line);
-  CHECK(open.End() == kRequests);
+  CHECK(open.EndProcess() == kRequests);
 }
 
 }  // namespace
--- a/tests/stop/gateway_stop_test.cc
+++ b/tests/stop/gateway_stop_test.cc
@@ -1,4 +1,4 @@
-// Stops a node that has an event loop of its own, and destroys both as the end of a process does.
+// Stops a node with its own event loop, and destroys both as a process exit would.
 #include <doctest/doctest.h>
 
 #include <functional>
@@ -13,13 +13,13 @@
 namespace {
 
 constexpr absl::Duration kLimit = absl::Seconds(20);
-constexpr absl::Duration kTurn = absl::Milliseconds(1);
+constexpr absl::Duration kTimeSlice = absl::Milliseconds(1);
 constexpr absl::Duration kStopTime = absl::Seconds(10);
-// The stream ends after the least time that a stop takes.
+// The stream outlasts the minimum duration of a stop.
 constexpr int kEvents = 9;
 constexpr absl::Duration kEventInterval = absl::Milliseconds(500);
 
-// A node on its own loop; store, workers and callers are on the world's.
+// A node on its own loop; store, workers and callers run on the loop of GatewayWorld.
 struct SeparateNode {
   explicit SeparateNode(GatewayWorld* world)
       : node(&loop, "n1", world->store.address(), "", kStopTime) {}
@@ -28,15 +28,15 @@
   TestNode node;
 };
 
-// Runs both loops by turns.
+// Runs both loops alternately until `done` returns true; returns false on the limit.
 bool WaitBoth(GatewayWorld* world, SeparateNode* node, const std::function<bool()>& done) {
   const absl::Time end = world->loop.Now() + kLimit;
   while (!done()) {
     if (world->loop.Now() >= end) {
       return false;
     }
-    node->loop.RunUntil(done, kTurn);
-    world->loop.RunUntil(done, kTurn);
+    node->loop.RunUntil(done, kTimeSlice);
+    world->loop.RunUntil(done, kTimeSlice);
   }
   return true;
 }
@@ -49,9 +49,9 @@
   return text;
 }
 
-// Guards against a stop that takes a stream as answered when its end was handed to the connection,
-// and ends the process before it has left.
-TEST_CASE("a stream that ends just before a stop's check arrives whole") {
+// Guards against a stop that treats a stream as answered once its end was passed to the connection,
+// and exits before the end was sent.
+TEST_CASE("a stream that ends just before a stop check arrives completely") {
   GatewayWorld world;
   emulator::PlatformWorkerOptions options;
   options.id = "w1";
@@ -76,7 +76,7 @@
   REQUIRE(WaitBoth(&world, node.get(), [&] { return call->body == Events(1, kEvents - 1); }));
   REQUIRE(!stopped);
 
-  // While the node does not run, its worker ends the stream and the check comes due.
+  // While the node's loop does not run, the worker ends the stream and the check becomes due.
   REQUIRE(world.Wait([&] { return worker->runs().front().ended; }));
   REQUIRE(node->loop.RunUntil([&] { return stopped; }, kLimit));
   const std::string last_line = node->node.LogLines().back();
--- a/tests/stop/http_server_end_test.cc
+++ b/tests/stop/http_server_end_test.cc
@@ -1,4 +1,4 @@
-// Ends a server, or one of its connections, while an answer is still on its way to its caller.
+// Ends a server, or one of its connections, while an answer is still being delivered.
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 
@@ -15,12 +15,13 @@
 namespace {
 
 constexpr absl::Duration kLimit = absl::Seconds(10);
-// Between two looks of a caller that reads steadily.
-constexpr absl::Duration kInterval = absl::Milliseconds(20);
+// Time between two reads of a caller that reads steadily.
+constexpr absl::Duration kReadInterval = absl::Milliseconds(20);
 constexpr std::string_view kRequest = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
-// More than a caller that doesn't read takes, less than the system takes of the server.
+// More than the caller's kernel receives while the caller doesn't read, but less than the server's
+// kernel buffers.
 constexpr std::size_t kLargeBody = 1024 * 1024;
-// More than the system takes.
+// More than the server's kernel buffers.
 constexpr std::size_t kHugeBody = 32 * 1024 * 1024;
 
 struct Server {
@@ -38,7 +39,7 @@
   return head == std::string::npos ? 0 : answer.size() - head - 4;
 }
 
-// Reads a piece of what there is at each interval, on the server's loop.
+// Reads up to `piece` bytes at each interval, on the server's loop.
 class SteadyReader {
  public:
   SteadyReader(EventLoop* loop, RawClient* caller, absl::Duration interval, std::size_t piece)
@@ -51,7 +52,7 @@
   }
   std::size_t size() const { return received_.size(); }
   const std::string& received() const { return received_; }
-  // The connection has ended, and all that came was read.
+  // True once the connection has ended and everything received was read.
   bool ended() const { return ended_; }
 
  private:
@@ -77,9 +78,9 @@
   bool ended_ = false;
 };
 
-// Guards against a process whose end resets a kept connection that has bytes unread, and takes the
-// end of an answer with it.
-TEST_CASE("an answer that its caller has not taken survives the process with bytes unread") {
+// Guards against a process exit that resets a keep-alive connection with unread input, so that the
+// caller loses the end of an answer.
+TEST_CASE("an answer is delivered although its connection has unread input at process exit") {
   bool answered = false;
   auto server = std::make_unique<Server>([&](const std::shared_ptr<ServerExchange>& exchange) {
     exchange->Answer(200, "OK", {}, std::string(kLargeBody, 'a'));
@@ -87,26 +88,27 @@
   });
   RawClient caller(server->http.address());
   REQUIRE(caller.Send(kRequest));
-  // The system takes the answer, but the caller takes nothing.
+  // The kernel has accepted the answer, but the caller has read nothing.
   REQUIRE(server->Wait([&] { return answered; }));
   bool over = false;
   const std::unique_ptr<LoopTimer> timer = server->loop.MakeTimer();
-  timer->Set(server->loop.Now() + kInterval, [&] { over = true; });
+  timer->Set(server->loop.Now() + kReadInterval, [&] { over = true; });
   REQUIRE(server->Wait([&] { return over; }));
   CHECK(server->http.activity().unfinished() == 1);
-  auto reader = std::make_unique<SteadyReader>(&server->loop, &caller, kInterval, kLargeBody / 8);
+  auto reader =
+      std::make_unique<SteadyReader>(&server->loop, &caller, kReadInterval, kLargeBody / 8);
   REQUIRE(server->Wait([&] { return server->http.activity().unfinished() == 0; }));
   std::string answer = reader->received();
   reader.reset();
-  // Arrives after the last look at the connections.
+  // Arrives after the last check of the connections.
   REQUIRE(caller.Send(kRequest));
   server.reset();
   answer.append(caller.ReadAll());
   CHECK(BodySize(answer) == kLargeBody);
 }
 
-// Guards against an idle time that begins when an answer is handed to its connection.
-TEST_CASE("the idle time does not end a connection whose caller is taking its answer") {
+// Guards against an idle timeout that starts when an answer is passed to its connection.
+TEST_CASE("the idle timeout does not close a connection whose caller is receiving its answer") {
   bool answered = false;
   Server server([&](const std::shared_ptr<ServerExchange>& exchange) {
     exchange->Answer(200, "OK", {}, std::string(kHugeBody, 'a'));
@@ -118,15 +120,15 @@
   RawClient caller(server.http.address());
   REQUIRE(caller.Send(kRequest));
   REQUIRE(server.Wait([&] { return answered; }));
-  // All of it takes more than six idle times.
-  SteadyReader reader(&server.loop, &caller, kInterval, kHugeBody / 32);
-  // Once all of it is sent, the idle time ends the connection.
+  // Reading everything takes more than six idle timeouts.
+  SteadyReader reader(&server.loop, &caller, kReadInterval, kHugeBody / 32);
+  // Once everything is sent, the idle timeout closes the connection.
   REQUIRE(server.Wait([&] { return reader.ended(); }));
   CHECK(reader.size() > kHugeBody);
 }
 
-// Guards against a connection that is kept for ever by a caller that takes nothing.
-TEST_CASE("the idle time ends a connection whose caller takes nothing of its answer") {
+// Guards against a connection that stays open forever because its caller reads nothing.
+TEST_CASE("the idle timeout closes a connection whose caller receives nothing of its answer") {
   bool answered = false;
   Server server([&](const std::shared_ptr<ServerExchange>& exchange) {
     exchange->Answer(200, "OK", {}, std::string(kHugeBody, 'a'));
@@ -142,8 +144,8 @@
   REQUIRE(server.Wait([&] { return server.http.connections() == 0; }));
 }
 
-// Guards against a refusal that does not count until it has left.
-TEST_CASE("a refusal counts as open until it has left the process") {
+// Guards against a refusal that is not counted while it is being sent.
+TEST_CASE("a refusal counts as unfinished until the caller closes") {
   auto server = std::make_unique<Server>([](const std::shared_ptr<ServerExchange>&) {});
   RawClient caller(server->http.address());
   REQUIRE(caller.Send("no request\r\n\r\n"));
--- a/tests/stop/http_server_stop_test.cc
+++ b/tests/stop/http_server_stop_test.cc
@@ -1,4 +1,4 @@
-// Ends a server as the end of its process does: its event loop is destroyed without running on.
+// Simulates the exit of a server's process: its event loop is destroyed without running further.
 #include <doctest/doctest.h>
 
 #include <functional>
@@ -26,8 +26,8 @@
   HttpServer http;
 };
 
-// Guards against a process that ends with the tail of an answer still behind a write under way.
-TEST_CASE("an answer counts as open until all of its bytes have left the process") {
+// Guards against a process exit with the tail of an answer queued behind a write in progress.
+TEST_CASE("an answer counts as open until all of its bytes were sent") {
   bool answered = false;
   auto server = std::make_unique<Server>([&](std::shared_ptr<ServerExchange> exchange) {
     exchange->StartChunked(200, "OK", {});
@@ -45,9 +45,8 @@
   CHECK(caller.ReadAll().ends_with("\r\n\r\n3\r\nabc\r\n0\r\n\r\n"));
 }
 
-// Guards against a process that ends between the reading of a request and the handler that counts
-// it.
-TEST_CASE("a request is read only by the handler that opens its exchange") {
+// Guards against a process exit between reading a request and the handler that counts it.
+TEST_CASE("a request is read and counted within the same handler") {
   std::shared_ptr<ServerExchange> held;
   auto server = std::make_unique<Server>(
       [&](std::shared_ptr<ServerExchange> exchange) { held = std::move(exchange); });
@@ -65,8 +64,8 @@
   held.reset();
 }
 
-// Guards against a process that ends between an answer and the parsing of a request read behind it.
-TEST_CASE("a request read behind another counts until it is answered") {
+// Guards against a process exit between an answer and the parsing of a pipelined request.
+TEST_CASE("a pipelined request counts as unfinished until it is answered") {
   int answered = 0;
   auto server = std::make_unique<Server>([&](const std::shared_ptr<ServerExchange>& exchange) {
     exchange->Answer(200, "OK", {}, "");
@@ -83,8 +82,8 @@
   CHECK(!uncounted);
 }
 
-// Guards against a request that is read, then dropped because the answer before it closes.
-TEST_CASE("a request read before the connection is asked to close is answered first") {
+// Guards against a request that was read but dropped because the preceding answer closes.
+TEST_CASE("a request read before AskToClose is answered before the connection closes") {
   Server server([](const std::shared_ptr<ServerExchange>& exchange) {
     exchange->Answer(200, "OK", {}, exchange->head().target);
   });
@@ -97,8 +96,8 @@
   CHECK(answers.ends_with("Connection: close\r\nContent-Length: 2\r\n\r\n/2"));
 }
 
-// Guards against a refusal that is lost with its process: no exchange was opened for it.
-TEST_CASE("a refused request counts until its refusal has left") {
+// Guards against a refusal that is lost at process exit because it has no exchange.
+TEST_CASE("a refused request counts as open until its refusal was sent") {
   const std::string noise = "GARBAGE\r\n\r\n";
   auto server = std::make_unique<Server>([](const std::shared_ptr<ServerExchange>&) {});
   RawClient caller(server->http.address());
