--- a/programs/hingespan.cc
+++ b/programs/hingespan.cc
@@ -1,4 +1,4 @@
-// The operators' command.
+// hingespan: the command-line tool for operators.
 #include <iostream>
 
 #include "hingespan/operator/command_line.h"
--- a/programs/hingespan_emulator.cc
+++ b/programs/hingespan_emulator.cc
@@ -1,4 +1,4 @@
-// hingespan-emulator: stand-ins for everything outside hingespan; see docs/EMULATOR.md.
+// hingespan-emulator: emulates all systems that hingespan depends on; see docs/EMULATOR.md.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <cstdlib>
@@ -24,7 +24,7 @@
 constexpr int kExitSettings = 2;
 constexpr int kExitListen = 3;
 
-// "key=value" pairs; one without "=" gets an empty value, which the settings then refuse.
+// Splits "key=value" pairs. A text without "=" gets an empty value, which the settings reject.
 std::vector<EmulatorOverride> SplitOverrides(const std::vector<std::string>& texts) {
   std::vector<EmulatorOverride> overrides;
   for (const std::string& text : texts) {
@@ -35,7 +35,7 @@
   return overrides;
 }
 
-// Signals that end the program; blocked in all threads and taken by WaitForEnd.
+// Blocks the signals that end the program in all threads, and returns them for WaitForEnd.
 sigset_t BlockEndSignals() {
   sigset_t signals;
   sigemptyset(&signals);
@@ -65,7 +65,7 @@
 
 int Run(const EmulatorSettings& settings) {
   std::signal(SIGPIPE, SIG_IGN);
-  // The distribution's library searches for lock cycles by default, at the cost of every lock.
+  // The distribution's Abseil detects lock cycles by default, which slows down every lock.
   absl::SetMutexDeadlockDetectionMode(absl::OnDeadlockCycle::kIgnore);
   const sigset_t signals = BlockEndSignals();
   const bool abort = settings.abort_on_overcommit;
--- a/programs/hingespan_gateway.cc
+++ b/programs/hingespan_gateway.cc
@@ -1,4 +1,4 @@
-// hingespan-gateway: one node of hingespan on the users' platform, on one event loop.
+// hingespan-gateway: a node of hingespan on the users' platform, run by a single event loop.
 #include <malloc.h>
 #include <unistd.h>
 
@@ -22,8 +22,8 @@
 
 constexpr int kExitListen = 3;
 constexpr int kExitSettings = 2;
-// How long the reader of the log is waited for at the end; less than the margin that a stop keeps.
-constexpr absl::Duration kLastLinesLimit = absl::Milliseconds(100);
+// Time limit for flushing the log at exit; must be below the time that a stop reserves for it.
+constexpr absl::Duration kLogFlushTimeout = absl::Milliseconds(100);
 constexpr const char* kSettingsVariable = "HINGESPAN_SETTINGS";
 
 struct Flags {
@@ -40,7 +40,7 @@
   return ReadGatewaySettings(*text, file, findings);
 }
 
-// Runs until a signal ends it. Returns the exit code.
+// Runs until a signal stops it. Returns the exit code.
 int RunGateway(const GatewaySettings& settings, const std::string& settings_file) {
   EventLoop loop;
   DecisionLog log(STDOUT_FILENO, &SystemClock(), DecisionLogLimits{});
@@ -75,7 +75,7 @@
               {{"findings", FormatFindings(findings)}});
   });
   loop.Run();
-  log.FlushWithin(kLastLinesLimit);
+  log.FlushWithin(kLogFlushTimeout);
   return 0;
 }
 
--- a/programs/hingespan_load.cc
+++ b/programs/hingespan_load.cc
@@ -1,8 +1,8 @@
-// hingespan-load: load and experiments from a scenario file.
+// hingespan-load: load generator and experiments, driven by a scenario file.
 //   run         sends a scenario's requests to nodes and writes a record
-//   summary     figures of a record
-//   report      plots of one record, or of two side by side
-//   experiment  one run for each keep-warm policy on a local cluster
+//   summary     prints the statistics of a record
+//   report      draws plots of one record, or of two side by side
+//   experiment  runs a scenario once per keep-warm policy on a local cluster
 #include <CLI/CLI.hpp>
 #include <cstdlib>
 #include <iostream>
@@ -106,8 +106,8 @@
   return EXIT_SUCCESS;
 }
 
-// The directory of this program, where those that it starts lie too.
-std::string OwnDirectory(const char* program) {
+// Returns the directory of this program, which also holds the programs that it starts.
+std::string ProgramDirectory(const char* program) {
   const std::string path = program;
   const std::size_t slash = path.rfind('/');
   return slash == std::string::npos ? "." : path.substr(0, slash);
@@ -160,7 +160,7 @@
   SummaryArguments summary;
   ReportArguments report;
   load::ExperimentOptions experiment;
-  experiment.program_directory = OwnDirectory(argv[0]);
+  experiment.program_directory = ProgramDirectory(argv[0]);
   AddRun(&app, &run);
   AddSummary(&app, &summary);
   AddReport(&app, &report);
--- a/programs/hingespan_platform_emulator.cc
+++ b/programs/hingespan_platform_emulator.cc
@@ -1,6 +1,6 @@
-// hingespan-platform-emulator: a stand-in for the users' platform as one process: the store of rows
-// and workers of a plain and of a model service. For the demonstration and for tests with
-// processes.
+// hingespan-platform-emulator: emulates the users' platform in a single process, with its metadata
+// store and the workers of a plain service and a model service. Used by the demonstration and by
+// multi-process tests.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <iostream>
--- a/programs/hingespand.cc
+++ b/programs/hingespand.cc
@@ -1,4 +1,4 @@
-// hingespand: one node of hingespan.
+// hingespand: a node of hingespan.
 #include <malloc.h>
 #include <pthread.h>
 #include <unistd.h>
@@ -23,7 +23,8 @@
 namespace hingespan {
 namespace {
 
-// Connections have a thread each: with an arena each too, what bursts leave free would stay taken.
+// Each connection has a thread. With one malloc arena per thread, memory freed after a burst of
+// connections would not be reused.
 constexpr int kMemoryArenas = 2;
 constexpr int kExitCutOff = 1;
 constexpr int kExitSettings = 2;
@@ -93,7 +94,7 @@
             << std::endl;
 }
 
-// Signals are taken by one thread, which is started before all others block them.
+// Handles signals on a dedicated thread; all other threads block them.
 class SignalWatcher {
  public:
   explicit SignalWatcher(Daemon* daemon) : thread_([this, daemon] { Watch(daemon); }) {}
@@ -103,7 +104,7 @@
     thread_.join();
   }
 
-  // To be called before any thread is started.
+  // Must be called before any thread is started, so that all threads inherit the signal mask.
   static sigset_t BlockSignals() {
     sigset_t signals;
     sigemptyset(&signals);
@@ -146,8 +147,8 @@
   }
   const SignalWatcher signals(&daemon);
   PrintListening(settings, *addresses);
-  const bool whole = daemon.Run([] { std::cout << "{\"event\":\"ready\"}" << std::endl; });
-  return whole ? 0 : kExitCutOff;
+  const bool complete = daemon.Run([] { std::cout << "{\"event\":\"ready\"}" << std::endl; });
+  return complete ? 0 : kExitCutOff;
 }
 
 int Main(int argc, char** argv) {
