--- a/include/hingespan/net/connection_limiter.h
+++ b/include/hingespan/net/connection_limiter.h
@@ -1,8 +1,8 @@
-// cpp-httplib's task queue with bounds: so many connections are served, the next ones are refused
-// in parallel, those beyond on the accepting thread, which must not wait for them. cpp-httplib's
-// own queue grows without bound.
+// Bounded task queue for cpp-httplib, whose own queue is unbounded. Connections up to a limit are
+// served; further ones are refused on a second, smaller pool; any beyond that are closed on the
+// accepting thread, which must not block on them.
 //
-// Includes httplib: for .cc files only.
+// Includes httplib, so include this header only from .cc files.
 #ifndef HINGESPAN_NET_CONNECTION_LIMITER_H_
 #define HINGESPAN_NET_CONNECTION_LIMITER_H_
 
@@ -16,23 +16,23 @@
 
 namespace hingespan {
 
-// What is to happen with the connection that this thread was given.
-// kClose: at once, with an answer only if that needs no waiting.
-enum class ConnectionFate { kServe, kRefuse, kClose };
+// Decision about a new connection. kClose closes it immediately and answers only if that can be
+// done without waiting.
+enum class ConnectionAdmission { kServe, kRefuse, kClose };
 
 class ConnectionLimiter : public httplib::TaskQueue {
  public:
   ConnectionLimiter(std::size_t maximum_connections, std::size_t maximum_refusals);
 
-  // Called by the accepting thread. The task reads CurrentFate().
+  // Called by the accepting thread. The task reads CurrentAdmission().
   void enqueue(std::function<void()> task) override;
-  // Waits for all connections to end.
+  // Blocks until all connections have ended.
   void shutdown() override;
 
-  // The fate of the connection whose task runs on this thread.
-  static ConnectionFate CurrentFate();
-  // Three quarters of the connections are taken: idle ones should go.
-  bool crowded() const { return serving_.pending() * 4 >= maximum_connections_ * 3; }
+  // Returns the decision for the connection whose task runs on the calling thread.
+  static ConnectionAdmission CurrentAdmission();
+  // True when three quarters of the connections are in use; idle ones should then be closed.
+  bool near_limit() const { return serving_.pending() * 4 >= maximum_connections_ * 3; }
 
  private:
   const std::size_t maximum_connections_;
--- a/include/hingespan/net/deadline_stream.h
+++ b/include/hingespan/net/deadline_stream.h
@@ -1,8 +1,8 @@
-// A socket (plain or TLS) as cpp-httplib's stream, with one deadline over all reads of a message.
-// cpp-httplib's own streams limit each read apart, so that a sender of single bytes is never cut
-// off.
+// cpp-httplib stream over a plain or TLS socket, with one deadline for all reads of a message.
+// cpp-httplib's own streams apply a timeout to each read, so a peer that sends single bytes slowly
+// would never be disconnected.
 //
-// Includes httplib: for .cc files only.
+// Includes httplib, so include this header only from .cc files.
 #ifndef HINGESPAN_NET_DEADLINE_STREAM_H_
 #define HINGESPAN_NET_DEADLINE_STREAM_H_
 
@@ -19,42 +19,42 @@
 
 namespace hingespan {
 
-// Why reading ended.
+// Reason for which reading ended.
 enum class ReadEnd { kNone, kClosed, kTimeout, kCancelled, kTooLarge };
 
 // Not thread-safe. Does not own the socket.
 class DeadlineStream : public httplib::Stream {
  public:
-  // `ssl` may be null: plain TCP.
+  // A null `ssl` means plain TCP.
   DeadlineStream(int socket, SSL* ssl);
 
-  // Instant of Clock::Now by which every read must have ended.
+  // Sets the time (of Clock::Now) by which all reads must have completed.
   void set_read_deadline(absl::Time deadline) { read_deadline_ = deadline; }
   absl::Time read_deadline() const { return read_deadline_; }
-  // Longest wait for the other side to take written bytes.
+  // Sets the longest wait until the peer accepts written bytes.
   void set_write_timeout(absl::Duration timeout) { write_timeout_ = timeout; }
-  // Asked now and then while a read waits; true ends the read.
+  // Sets a predicate that is polled while a read waits; the read ends when it returns true.
   void set_cancelled(std::function<bool()> cancelled) { cancelled_ = std::move(cancelled); }
-  // Bytes that may still be read; reads beyond fail with kTooLarge.
+  // Sets the number of bytes that may still be read; further reads fail with kTooLarge.
   void set_read_allowance(std::size_t bytes) { read_allowance_ = bytes; }
-  // For streams of many small pieces: fewer system calls for each. No effect on TLS.
+  // Saves a system call per read, for streams of many small pieces. No effect on TLS.
   void UseBlockingReads();
-  // From now on writes are dropped and reported as done.
+  // Makes writes succeed without sending anything.
   void set_discard_writes(bool discard) { discard_writes_ = discard; }
 
-  // Waits until a byte can be read. False: end, timeout or cancelled.
+  // Waits until a byte can be read. Returns false on end of stream, timeout or cancellation.
   bool WaitReadable();
-  // Reads up to and with the blank line that ends a message's head, and hands it out without
-  // consuming it. Empty: see read_end(); kTooLarge beyond `maximum` bytes.
+  // Reads a message's head up to and including its blank line, and returns it without consuming it.
+  // Returns an empty view on failure: see read_end(), kTooLarge beyond `maximum` bytes.
   std::string_view PeekHead(std::size_t maximum);
-  // Replaces the first `old_size` unread bytes by `bytes`.
+  // Replaces the first `old_size` unread bytes with `bytes`.
   void ReplaceUnread(std::size_t old_size, std::string_view bytes);
 
-  // Whether received bytes wait to be read.
+  // True if received bytes are waiting to be read.
   bool is_buffered() const { return unread() > 0; }
-  // Whether the other side has closed its end. Never blocks.
+  // Returns true if the peer has closed its side. Never blocks.
   bool PeerClosed() const;
-  // Some write failed, or was not taken in time.
+  // True if a write has failed or timed out.
   bool write_failed() const { return write_failed_; }
   ReadEnd read_end() const { return read_end_; }
 
@@ -68,9 +68,9 @@
   socket_t socket() const override { return socket_; }
 
  private:
-  // Waits for the poll events until `until`. False: see read_end() when `reading`.
+  // Waits for the poll events until `until`. On false, read_end() has the reason if `reading`.
   bool Wait(short events, absl::Time until, bool reading);
-  // Reads what is there into `data`; waits for the first byte. 0 or less: see read_end().
+  // Waits for the first byte, then reads what is available. On 0 or less, see read_end().
   ssize_t ReceiveSome(char* data, std::size_t size);
   ssize_t ReceiveTls(char* data, std::size_t size);
   ssize_t SendSome(const char* data, std::size_t size, absl::Time until);
@@ -87,7 +87,7 @@
   bool discard_writes_ = false;
   bool write_failed_ = false;
   ReadEnd read_end_ = ReadEnd::kNone;
-  // Received bytes; those before `position_` are read.
+  // Received bytes; those before `position_` were already read.
   std::string buffer_;
   std::size_t position_ = 0;
 };
--- a/include/hingespan/net/http_connections.h
+++ b/include/hingespan/net/http_connections.h
@@ -1,7 +1,7 @@
-// The life of an HttpServer's connections: TLS handshake, requests one after another, refusals,
-// end.
+// Lifecycle of the connections of an HttpServer: TLS handshake, requests in sequence, refusals and
+// closing.
 //
-// Includes httplib: for .cc files only.
+// Includes httplib, so include this header only from .cc files.
 #ifndef HINGESPAN_NET_HTTP_CONNECTIONS_H_
 #define HINGESPAN_NET_HTTP_CONNECTIONS_H_
 
@@ -25,26 +25,26 @@
 // Thread-safe.
 class HttpConnections {
  public:
-  // Handles one request on the stream; sets `closed` when the connection is to end. False: failed.
+  // Handles one request; sets `closed` if the connection must be closed. Returns false on failure.
   using ProcessRequest =
       std::function<bool(DeadlineStream& stream, SSL* ssl, bool close, bool* closed)>;
 
   explicit HttpConnections(const HttpServerOptions& options) : options_(options) {}
 
-  // For cpp-httplib, which owns the result.
+  // Creates the task queue for cpp-httplib, which takes ownership.
   ConnectionLimiter* NewLimiter();
-  // Serves, refuses or closes the connection, as its fate says; returns when it has ended.
+  // Serves, refuses or closes the connection as ConnectionLimiter decided; blocks until its end.
   bool Serve(int socket, SSL_CTX* context, const ProcessRequest& process)
       ABSL_LOCKS_EXCLUDED(mutex_);
-  // Gives an error answer of cpp-httplib its final status and body.
+  // Sets the final status and body of an error answer made by cpp-httplib.
   void FillError(httplib::Response& response);
-  // Says "Connection: close" where the request did not arrive whole.
-  static void MarkEnd(httplib::Response& response);
-  // As BeginStop, but connections that come are still served, for one request each.
+  // Adds "Connection: close" to the answer to a request that was not received completely.
+  static void AddConnectionClose(httplib::Response& response);
+  // Like BeginStop, but new connections are still served, for one request each.
   void BeginDrain() { draining_ = true; }
-  // Idle connections end; others end after their present request.
+  // Closes idle connections, and the others after their current request.
   void BeginStop() ABSL_LOCKS_EXCLUDED(mutex_);
-  // Waits up to `grace` for all to end, then breaks those that are left.
+  // Waits up to `grace` for all connections to end; false if it had to cut off the rest.
   bool EndAll(absl::Duration grace) ABSL_LOCKS_EXCLUDED(mutex_);
 
   HttpServerCounters counters() const ABSL_LOCKS_EXCLUDED(mutex_);
@@ -52,16 +52,16 @@
 
  private:
   void ServeRequests(DeadlineStream* stream, SSL* ssl, const ProcessRequest& process);
-  // One request. False when the connection is to end.
+  // Serves one request. Returns false if the connection must be closed.
   bool ServeRequest(DeadlineStream* stream, SSL* ssl, bool close, const ProcessRequest& process);
   bool ServeOpen(int socket, SSL_CTX* context, const ProcessRequest& process)
       ABSL_LOCKS_EXCLUDED(mutex_);
-  // Answers 503 and hands the socket on; waits for nothing but a TLS handshake.
+  // Answers 503 and hands the socket to `linger_`; blocks only for a TLS handshake.
   bool RefuseConnection(int socket, SSL_CTX* context);
   bool ShouldEndIdle() const;
   std::string ErrorText(int status, std::string_view problem) const;
   static std::string ErrorAnswer(int status, const std::string& body);
-  // The connection is to end after these.
+  // The connection must be closed after these writes.
   static void WriteAnswer(DeadlineStream* stream, const std::string& answer);
   void WriteError(DeadlineStream* stream, int status, std::string_view problem);
   void WriteStopping(DeadlineStream* stream);
@@ -74,10 +74,10 @@
   std::atomic<std::uint64_t> refused_ = 0;
   std::atomic<std::uint64_t> closed_ = 0;
   std::atomic<std::uint64_t> receive_timeouts_ = 0;
-  // Refused connections, until their callers have read the answer.
+  // Holds refused connections until their callers have read the answer.
   SocketLinger linger_{kMaximumLingeringSockets};
   mutable absl::Mutex mutex_;
-  // Open sockets.
+  // Sockets of open connections; the value is always true.
   absl::flat_hash_map<int, bool> open_ ABSL_GUARDED_BY(mutex_);
 };
 
--- a/include/hingespan/net/http_exchange.h
+++ b/include/hingespan/net/http_exchange.h
@@ -1,5 +1,5 @@
-// One HTTP exchange with another machine, over pooled keep-alive connections of cpp-httplib's
-// client, with one deadline over connecting, sending and receiving. Thread-safe.
+// Blocking HTTP client with pooled keep-alive connections of cpp-httplib's client. One deadline
+// covers connecting, sending and receiving. Thread-safe.
 #ifndef HINGESPAN_NET_HTTP_EXCHANGE_H_
 #define HINGESPAN_NET_HTTP_EXCHANGE_H_
 
@@ -27,54 +27,54 @@
   std::string path = "/";
   std::vector<HttpHeader> headers;
   std::string body;
-  // Of the body; empty: none.
+  // Content type of the body; empty if there is none.
   std::string content_type;
-  // Instant of Clock::Now; the exchange has ended by then. Each received piece may move it: see
+  // Time (of Clock::Now) by which the exchange has ended. Each received piece may extend it, see
   // `idle_limit`.
   absl::Time deadline;
-  // Finite: from the first piece of the body on, the deadline is this long after the latest piece.
+  // If finite, the deadline is this long after the latest piece, from the body's first piece on.
   absl::Duration idle_limit = absl::InfiniteDuration();
-  // Called with each piece of the body of a 200 answer as it comes; false ends the exchange. Null:
-  // the body is collected.
+  // Called with each piece of the body of a 200 answer as it arrives; returning false ends the
+  // exchange. If null, the body is collected.
   std::function<bool(std::string_view piece)> on_piece;
-  // Called each time that all which has come was handed to `on_piece`, before the wait for more.
+  // Called before waiting for more data, each time everything received was passed to `on_piece`.
   // May be null.
   std::function<void()> before_wait;
-  // Asked now and then while nothing comes; true ends the exchange.
+  // Polled while waiting for data; returning true ends the exchange.
   std::function<bool()> cancelled;
 };
 
 enum class ExchangeEnd {
-  // The whole answer was received.
+  // The complete answer was received.
   kComplete,
-  // No connection: nothing was sent.
+  // No connection could be made, so nothing was sent.
   kNotSent,
   // The connection broke.
   kBroken,
   kTimeout,
-  // By `cancelled` or `on_piece`.
+  // Ended by `cancelled` or `on_piece`.
   kCancelled,
 };
 
 struct HttpAnswer {
   ExchangeEnd end = ExchangeEnd::kNotSent;
-  // 0 when no answer's head was received.
+  // HTTP status; 0 if no head of an answer was received.
   int status = 0;
   std::string content_type;
-  // Of an answer other than 200.
+  // Header fields; filled only for answers other than 200.
   std::vector<HttpHeader> headers;
-  // Bodies that were not handed to `on_piece`.
+  // Body, unless it was passed to `on_piece`.
   std::string body;
 };
 
 struct HttpClientOptions {
   absl::Duration connect_timeout = absl::Seconds(1);
-  // Kept connections that have been idle for longer are not used again: the other side may close
-  // them just as a request is sent.
+  // Connections idle for longer are not reused, because the peer may close them just as a request
+  // is sent.
   absl::Duration maximum_idle = absl::Seconds(1);
-  // Kept connections per address.
-  std::size_t maximum_kept = 16;
-  // Speak TLS; the other side must show a certificate that `ca_file` signed, if given.
+  // Limit of idle connections per address.
+  std::size_t maximum_idle_connections = 16;
+  // Use TLS. If `ca_file` is set, the peer's certificate must be signed by it.
   bool tls = false;
   std::string ca_file;
   std::string certificate_file;
@@ -87,7 +87,7 @@
   ~HttpClientPool();
 
   HttpAnswer Exchange(const HttpExchange& exchange);
-  // Connections made so far.
+  // Number of connections established so far.
   std::size_t connections_made() const;
 
  private:
--- a/include/hingespan/net/http_server.h
+++ b/include/hingespan/net/http_server.h
@@ -1,5 +1,5 @@
-// An HTTP/1.1 server over cpp-httplib that bounds what callers can take: connections, threads,
-// memory of a request, and the time in which a whole request must arrive. Plain or TLS.
+// HTTP/1.1 server (plain or TLS) based on cpp-httplib, with limits on connections, threads, memory
+// per request, and the time in which a complete request must arrive.
 #ifndef HINGESPAN_NET_HTTP_SERVER_H_
 #define HINGESPAN_NET_HTTP_SERVER_H_
 
@@ -21,35 +21,35 @@
 
 class DeadlineStream;
 
-// A connection ends after this many requests.
+// A connection is closed after this many requests.
 inline constexpr int kMaximumRequestsPerConnection = 10000;
 
 struct HttpServerOptions {
   std::size_t maximum_connections = 256;
   std::size_t maximum_refusals = 16;
   std::size_t maximum_body_bytes = 1 << 20;
-  // From the first byte of a request until its last.
+  // Time from the first byte of a request to its last.
   absl::Duration receive_timeout = absl::Seconds(5);
   absl::Duration keep_alive_timeout = absl::Seconds(2);
   absl::Duration send_timeout = absl::Seconds(10);
-  // PEM files; empty certificate: plain HTTP.
+  // PEM files. Without a certificate the server speaks plain HTTP.
   std::string certificate_file;
   std::string key_file;
-  // Clients must show a certificate that this one signed; empty: none is asked for.
+  // PEM file of the authority that must have signed client certificates; empty to request none.
   std::string client_ca_file;
-  // Text of the answer to a request that is refused before any handler sees it.
+  // Makes the body of the answer to a request that is refused before it reaches a handler.
   std::function<std::string(int status, std::string_view problem)> error_body;
-  // Text for a caller whose request won't be read, since the server stops; unset: error_body's.
+  // Body for callers whose request won't be read, as the server is stopping; default: `error_body`.
   std::function<std::string(std::string_view problem)> stopping_body;
 };
 
 struct HttpServerCounters {
   std::uint64_t connections = 0;
-  // Answered 503, since too many were open.
+  // Connections answered 503 because too many were open.
   std::uint64_t refused = 0;
-  // Closed without an answer: TLS connections, while too many handshakes of refused ones ran.
+  // TLS connections closed unanswered because too many refused ones were in a handshake.
   std::uint64_t closed = 0;
-  // Requests that did not arrive whole in time.
+  // Requests that were not received completely in time.
   std::uint64_t receive_timeouts = 0;
   std::uint64_t open = 0;
 };
@@ -60,23 +60,23 @@
   // Calls Stop.
   ~HttpServer();
 
-  // Handlers are added here before Start. They run on a connection's thread.
+  // Routes to which handlers are added before Start. Handlers run on their connection's thread.
   httplib::Server& routes();
-  // Binds "ip:port" and returns the same with the port that the kernel picked. Errors:
-  // kInvalidArgument (address, certificate), kUnavailable (address taken).
+  // Binds "ip:port" and returns it with the port that the kernel picked. Errors: kInvalidArgument
+  // (bad address or certificate), kUnavailable (address in use).
   Result<std::string> Bind(const std::string& address);
-  // Accepts connections on a thread of its own.
+  // Starts to accept connections, on a separate thread.
   void Start();
-  // From now on idle connections end, and others after their present request: clients make new
-  // ones, elsewhere if they can.
+  // Closes idle connections, and the others after their current request, so that clients reconnect,
+  // preferably to other nodes.
   void BeginDrain();
-  // Accepts no more, ends idle connections, gives others `grace` to end, then ends all. False: some
-  // were cut off.
+  // Stops accepting, closes idle connections, and waits up to `grace` for the others before closing
+  // them. Returns false if any were cut off.
   bool Stop(absl::Duration grace);
 
   HttpServerCounters counters() const;
 
-  // The stream of the connection whose handler runs on this thread; null outside of handlers.
+  // Returns the stream of the connection whose handler runs on the calling thread; null elsewhere.
   static DeadlineStream* CurrentStream();
 
  private:
--- a/include/hingespan/net/message_signer.h
+++ b/include/hingespan/net/message_signer.h
@@ -1,4 +1,4 @@
-// Signs bytes with a shared key: HMAC-SHA256.
+// Message signatures with a shared key (HMAC-SHA256).
 #ifndef HINGESPAN_NET_MESSAGE_SIGNER_H_
 #define HINGESPAN_NET_MESSAGE_SIGNER_H_
 
@@ -7,12 +7,12 @@
 
 namespace hingespan {
 
-// Bytes of a signature.
+// Size of a signature.
 inline constexpr std::size_t kSignatureBytes = 32;
 
-// The signature of `bytes`, kSignatureBytes long.
+// Returns the signature of `bytes`, kSignatureBytes long.
 std::string SignMessage(std::string_view key, std::string_view bytes);
-// In constant time for texts of one length.
+// Compares in constant time if both have the same length.
 bool EqualSecrets(std::string_view left, std::string_view right);
 
 }  // namespace hingespan
--- a/include/hingespan/net/request_head.h
+++ b/include/hingespan/net/request_head.h
@@ -1,5 +1,5 @@
-// Checks of a request's head (request line and headers) before cpp-httplib parses it: its regular
-// expressions recurse once a byte, and it reads bodies of unknown length or expanding encodings.
+// Validates a request's head (request line and headers) before cpp-httplib parses it, since its
+// regular expressions recurse once per byte, and it accepts bodies of unknown length or compressed.
 #ifndef HINGESPAN_NET_REQUEST_HEAD_H_
 #define HINGESPAN_NET_REQUEST_HEAD_H_
 
@@ -10,20 +10,20 @@
 
 namespace hingespan {
 
-// Longest head, and longest target within it, in bytes.
+// Size limits of the head, and of the request target in it.
 inline constexpr std::size_t kMaximumHeadBytes = 16 * 1024;
 inline constexpr std::size_t kMaximumTargetBytes = 1024;
 
 struct RequestHead {
-  // HTTP status to refuse with; 0: the head is good.
+  // HTTP status of the refusal; 0 if the head is valid.
   int status = 0;
   std::string problem;
-  // The head to parse, without headers that are to be ignored.
+  // The head to parse, without ignored headers.
   std::string text;
 };
 
-// `head` ends with its blank line. Refuses unknown or doubled body lengths, bodies above
-// `maximum_body`, encoded and multipart bodies, and long targets; leaves out "Range".
+// Checks `head`, which ends with its blank line. Refuses unknown or repeated body lengths, bodies
+// above `maximum_body` bytes, encoded and multipart bodies, and long targets; removes "Range".
 RequestHead CheckRequestHead(absl::string_view head, std::size_t maximum_body);
 
 }  // namespace hingespan
--- a/include/hingespan/net/socket_address.h
+++ b/include/hingespan/net/socket_address.h
@@ -1,4 +1,4 @@
-// "ip:port" texts and socket addresses.
+// Conversion between "ip:port" strings and socket addresses.
 #ifndef HINGESPAN_NET_SOCKET_ADDRESS_H_
 #define HINGESPAN_NET_SOCKET_ADDRESS_H_
 
@@ -12,7 +12,7 @@
 namespace hingespan {
 
 struct HostPort {
-  // A numeric IPv4 or IPv6 address; IPv6 stands in brackets in the text form.
+  // Numeric IPv4 or IPv6 address without brackets; the text form puts IPv6 in brackets.
   std::string host;
   int port = 0;
 };
@@ -22,11 +22,11 @@
   socklen_t length = 0;
 };
 
-// Errors: kInvalidArgument.
+// Both parse functions fail with kInvalidArgument.
 Result<HostPort> ParseHostPort(absl::string_view text);
 Result<SocketAddress> ParseSocketAddress(absl::string_view text);
 std::string FormatSocketAddress(const sockaddr_storage& storage);
-// Whether the address can be reached from this machine only. False for what can't be understood.
+// Returns true for loopback addresses, false for others and for text that can't be parsed.
 bool IsLoopback(absl::string_view text);
 
 }  // namespace hingespan
--- a/include/hingespan/net/socket_linger.h
+++ b/include/hingespan/net/socket_linger.h
@@ -1,6 +1,6 @@
-// Ends connections whose answer is written but whose request was not read: drops what the caller
-// still sends, for a short time, and then closes. A socket closed with unread bytes is reset,
-// which could take the answer away from the caller.
+// Lingering close for connections whose answer was written but whose request was not read:
+// discards further input for a short time before closing. Closing a socket with unread input
+// resets the connection, and the caller could lose the answer.
 #ifndef HINGESPAN_NET_SOCKET_LINGER_H_
 #define HINGESPAN_NET_SOCKET_LINGER_H_
 
@@ -14,25 +14,25 @@
 
 namespace hingespan {
 
-// How long a refused caller's bytes are still taken, so that it can read the refusal.
-inline constexpr absl::Duration kLinger = absl::Milliseconds(500);
-// Bytes of one caller that are dropped before its connection is closed.
+// Time for which input of a refused caller is discarded, so that it can read the refusal.
+inline constexpr absl::Duration kLingerTimeout = absl::Milliseconds(500);
+// A connection is closed once this many bytes of its input were discarded.
 inline constexpr std::size_t kMaximumLingerBytes = 4 << 20;
-// Refused connections whose callers are still reading, of one server.
+// Limit of lingering connections per server.
 inline constexpr std::size_t kMaximumLingeringSockets = 256;
 
-// One thread for all sockets, started with the first. Thread-safe.
+// Uses one thread for all sockets, started with the first socket. Thread-safe.
 class SocketLinger {
  public:
-  // Beyond `maximum_sockets` the oldest is closed early.
+  // When `maximum_sockets` is exceeded, the oldest socket is closed early.
   explicit SocketLinger(std::size_t maximum_sockets) : maximum_sockets_(maximum_sockets) {}
-  // Waits for the sockets that are left, at most kLinger.
+  // Waits for the remaining sockets, at most kLingerTimeout.
   ~SocketLinger();
   SocketLinger(const SocketLinger&) = delete;
   SocketLinger& operator=(const SocketLinger&) = delete;
 
-  // Takes the socket, shuts down its sending side, and closes it when the caller has closed its
-  // own, or after kLinger. Never blocks for long.
+  // Takes ownership of the socket, shuts down its sending side, and closes it when the caller has
+  // closed its side or after kLingerTimeout. Never blocks for long.
   void Add(int socket) ABSL_LOCKS_EXCLUDED(mutex_);
 
  private:
@@ -43,12 +43,12 @@
   };
 
   void Run() ABSL_LOCKS_EXCLUDED(mutex_);
-  // Takes over the added sockets. False: nothing is left, and nothing will come.
+  // Moves added sockets to `lingering_`. Returns false if none are left and none will be added.
   bool TakeAdded() ABSL_LOCKS_EXCLUDED(mutex_);
-  // Waits for bytes of any socket, until the first must be closed or another was added.
+  // Waits until a socket has input, the first one must be closed, or another one was added.
   void Wait();
-  // Drops what came, and closes those that have ended.
-  void DropAndClose();
+  // Discards input, and closes the sockets that are done.
+  void DiscardAndClose();
 
   const std::size_t maximum_sockets_;
   absl::Mutex mutex_;
@@ -57,7 +57,7 @@
   bool ending_ ABSL_GUARDED_BY(mutex_) = false;
   int wake_ = -1;
   std::thread thread_;
-  // The thread's own, oldest first.
+  // Used only by `thread_`; oldest first.
   std::deque<Entry> lingering_;
 };
 
--- a/include/hingespan/net/thread_pool.h
+++ b/include/hingespan/net/thread_pool.h
@@ -1,4 +1,4 @@
-// A bounded pool of threads with small stacks, started when work comes and ended when idle.
+// Bounded pool of threads with small stacks, which start on demand and end when idle.
 #ifndef HINGESPAN_NET_THREAD_POOL_H_
 #define HINGESPAN_NET_THREAD_POOL_H_
 
@@ -16,9 +16,9 @@
 
 struct ThreadPoolOptions {
   std::size_t maximum_threads = 4;
-  // Tasks that wait while every thread is busy; 0: none may wait.
+  // Limit of tasks that wait while all threads are busy; 0 allows none.
   std::size_t maximum_queue = 64;
-  // A thread without work for this long ends.
+  // A thread ends after being idle for this long.
   absl::Duration idle_timeout = absl::Seconds(5);
   std::size_t stack_bytes = 256 * 1024;
 };
@@ -34,12 +34,12 @@
   ThreadPool(const ThreadPool&) = delete;
   ThreadPool& operator=(const ThreadPool&) = delete;
 
-  // Runs `task` on a thread of the pool; false, with nothing done, when the pool is full, shut down
-  // or can get no thread.
+  // Runs `task` on a thread of the pool. Returns false without effect if the pool is full, was shut
+  // down, or can't start a thread.
   bool TrySubmit(Task task) ABSL_LOCKS_EXCLUDED(mutex_);
-  // Runs what was taken, then ends all threads. No task is taken afterwards.
+  // Completes all accepted tasks, then ends all threads. No further tasks are accepted.
   void Shutdown() ABSL_LOCKS_EXCLUDED(mutex_);
-  // Tasks that run or wait.
+  // Number of tasks that are running or waiting.
   std::size_t pending() const ABSL_LOCKS_EXCLUDED(mutex_);
 
  private:
@@ -54,10 +54,10 @@
   mutable absl::Mutex mutex_;
   std::deque<Task> queue_ ABSL_GUARDED_BY(mutex_);
   std::size_t threads_ ABSL_GUARDED_BY(mutex_) = 0;
-  // Tasks that run now.
+  // Number of tasks that are running.
   std::size_t running_ ABSL_GUARDED_BY(mutex_) = 0;
   bool shut_down_ ABSL_GUARDED_BY(mutex_) = false;
-  // Threads that have ended and are to be joined.
+  // Threads that have ended and must be joined.
   std::vector<pthread_t> ended_ ABSL_GUARDED_BY(mutex_);
 };
 
--- a/include/hingespan/net/tls_handshake.h
+++ b/include/hingespan/net/tls_handshake.h
@@ -1,4 +1,4 @@
-// Server side of a TLS handshake with a time limit.
+// Server side of a TLS handshake, with a time limit.
 #ifndef HINGESPAN_NET_TLS_HANDSHAKE_H_
 #define HINGESPAN_NET_TLS_HANDSHAKE_H_
 
@@ -15,8 +15,8 @@
 };
 using SslPointer = std::unique_ptr<SSL, SslDeleter>;
 
-// Makes `socket` non-blocking. Null when the handshake fails or takes longer than `deadline` (an
-// instant of Clock::Now).
+// Makes `socket` non-blocking and performs the handshake. Returns null if it fails or is not
+// complete by `deadline` (a time of Clock::Now).
 SslPointer AcceptTls(int socket, SSL_CTX* context, absl::Time deadline);
 
 }  // namespace hingespan
--- a/src/net/connection_limiter.cc
+++ b/src/net/connection_limiter.cc
@@ -5,7 +5,7 @@
 namespace hingespan {
 namespace {
 
-thread_local ConnectionFate current_fate = ConnectionFate::kServe;
+thread_local ConnectionAdmission current_admission = ConnectionAdmission::kServe;
 
 ThreadPoolOptions UnqueuedPool(std::size_t threads) {
   ThreadPoolOptions options;
@@ -21,24 +21,24 @@
       serving_(UnqueuedPool(maximum_connections)),
       refusing_(UnqueuedPool(maximum_refusals)) {}
 
-ConnectionFate ConnectionLimiter::CurrentFate() { return current_fate; }
+ConnectionAdmission ConnectionLimiter::CurrentAdmission() { return current_admission; }
 
 void ConnectionLimiter::enqueue(std::function<void()> task) {
   const auto serve = [task] {
-    current_fate = ConnectionFate::kServe;
+    current_admission = ConnectionAdmission::kServe;
     task();
   };
   if (serving_.TrySubmit(serve)) {
     return;
   }
   const auto refuse = [task] {
-    current_fate = ConnectionFate::kRefuse;
+    current_admission = ConnectionAdmission::kRefuse;
     task();
   };
   if (refusing_.TrySubmit(refuse)) {
     return;
   }
-  current_fate = ConnectionFate::kClose;
+  current_admission = ConnectionAdmission::kClose;
   task();
 }
 
--- a/src/net/deadline_stream.cc
+++ b/src/net/deadline_stream.cc
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr std::size_t kBufferBytes = 4096;
-// How often a waiting read asks whether it is cancelled.
+// Interval at which a waiting read checks for cancellation.
 constexpr absl::Duration kCancelInterval = absl::Milliseconds(200);
 
 void ReadEndpoint(const sockaddr_storage& storage, std::string* ip, int* port) {
@@ -47,8 +47,9 @@
       }
       return false;
     }
-    const bool asks = reading && cancelled_ != nullptr;
-    const absl::Duration slice = std::min(left, asks ? kCancelInterval : absl::Seconds(60));
+    const bool checks_cancelled = reading && cancelled_ != nullptr;
+    const absl::Duration slice =
+        std::min(left, checks_cancelled ? kCancelInterval : absl::Seconds(60));
     pollfd entry{socket_, events, 0};
     const int timeout_ms = static_cast<int>(absl::ToInt64Milliseconds(slice)) + 1;
     const int count = poll(&entry, 1, timeout_ms);
@@ -61,7 +62,7 @@
       }
       return false;
     }
-    if (asks && cancelled_()) {
+    if (checks_cancelled && cancelled_()) {
       read_end_ = ReadEnd::kCancelled;
       return false;
     }
@@ -80,8 +81,8 @@
       return count;
     }
     const int error = SSL_get_error(ssl_, count);
-    const bool wants = error == SSL_ERROR_WANT_READ || error == SSL_ERROR_WANT_WRITE;
-    if (!wants) {
+    const bool would_block = error == SSL_ERROR_WANT_READ || error == SSL_ERROR_WANT_WRITE;
+    if (!would_block) {
       read_end_ = ReadEnd::kClosed;
       return 0;
     }
@@ -97,7 +98,7 @@
     return ReceiveTls(data, size);
   }
   while (true) {
-    // A blocking read saves a poll for each piece; near the deadline only a poll is exact.
+    // A blocking read saves one poll per piece; near the deadline only a poll is accurate.
     const bool blocks =
         blocking_reads_ && read_deadline_ - SystemClock().Now() > 2 * kCancelInterval;
     if (!blocks && !Wait(POLLIN, read_deadline_, true)) {
@@ -144,7 +145,7 @@
   if (unread() > 0) {
     return true;
   }
-  // Filling, not only polling: it tells data from the end of the connection.
+  // Reads instead of polling only, to tell data from the end of the connection.
   return Fill();
 }
 
@@ -188,7 +189,7 @@
   return poll(&entry, 1, 0) > 0;
 }
 
-// Writes wait for room themselves; only a known failure forbids the next one.
+// Writes wait for buffer space themselves, so only a failed write makes the stream unwritable.
 bool DeadlineStream::is_writable() const { return !write_failed_; }
 
 ssize_t DeadlineStream::read(char* data, std::size_t size) {
@@ -197,7 +198,7 @@
     return -1;
   }
   if (unread() == 0) {
-    // Also bytes that are there already must not outlive the deadline.
+    // The deadline applies even if bytes are already available on the socket.
     if (!Fill()) {
       return read_end_ == ReadEnd::kClosed ? 0 : -1;
     }
@@ -230,8 +231,8 @@
       return count;
     }
     const int error = SSL_get_error(ssl_, count);
-    const bool wants = error == SSL_ERROR_WANT_READ || error == SSL_ERROR_WANT_WRITE;
-    if (!wants || !Wait(error == SSL_ERROR_WANT_READ ? POLLIN : POLLOUT, until, false)) {
+    const bool would_block = error == SSL_ERROR_WANT_READ || error == SSL_ERROR_WANT_WRITE;
+    if (!would_block || !Wait(error == SSL_ERROR_WANT_READ ? POLLIN : POLLOUT, until, false)) {
       return -1;
     }
   }
--- a/src/net/http_connections.cc
+++ b/src/net/http_connections.cc
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr int kRetryAfterSeconds = 1;
-// Chunked bodies carry sizes between their bytes.
+// Allowance for the chunk headers of a chunked body.
 constexpr std::size_t kChunkOverheadFactor = 2;
 constexpr std::size_t kChunkOverheadBytes = 64 * 1024;
 
@@ -44,15 +44,15 @@
   }
 }
 
-// Reads and drops what the caller still sends, until it closes: a socket closed with unread bytes
-// is reset, which would take the answer away from the caller.
+// Discards further input until the caller closes: closing a socket with unread input would reset
+// the connection, and the caller could lose the answer.
 void Linger(DeadlineStream* stream) {
   shutdown(stream->socket(), SHUT_WR);
   stream->set_cancelled(nullptr);
-  stream->set_read_deadline(SystemClock().Now() + kLinger);
+  stream->set_read_deadline(SystemClock().Now() + kLingerTimeout);
   stream->set_read_allowance(kMaximumLingerBytes);
-  std::array<char, 4096> dropped;
-  while (stream->read(dropped.data(), dropped.size()) > 0) {
+  std::array<char, 4096> discarded;
+  while (stream->read(discarded.data(), discarded.size()) > 0) {
   }
 }
 
@@ -69,20 +69,20 @@
 
 bool HttpConnections::ShouldEndIdle() const {
   const ConnectionLimiter* const limiter = limiter_;
-  return stopping_ || draining_ || (limiter != nullptr && limiter->crowded());
+  return stopping_ || draining_ || (limiter != nullptr && limiter->near_limit());
 }
 
 bool HttpConnections::Serve(int socket, SSL_CTX* context, const ProcessRequest& process) {
   ++connections_;
-  const ConnectionFate fate = ConnectionLimiter::CurrentFate();
-  if (fate == ConnectionFate::kServe) {
+  const ConnectionAdmission admission = ConnectionLimiter::CurrentAdmission();
+  if (admission == ConnectionAdmission::kServe) {
     const absl::Cleanup close_socket = [socket] { close(socket); };
     return ServeOpen(socket, context, process);
   }
-  if (fate == ConnectionFate::kRefuse || context == nullptr) {
+  if (admission == ConnectionAdmission::kRefuse || context == nullptr) {
     return RefuseConnection(socket, context);
   }
-  // A handshake would hold the accepting thread.
+  // A TLS handshake would block the accepting thread.
   ++closed_;
   close(socket);
   return false;
@@ -93,7 +93,7 @@
     absl::MutexLock lock(&mutex_);
     open_[socket] = true;
   }
-  const absl::Cleanup forget = [this, socket] {
+  const absl::Cleanup unregister = [this, socket] {
     absl::MutexLock lock(&mutex_);
     open_.erase(socket);
   };
@@ -126,7 +126,7 @@
   }
   ++refused_;
   DeadlineStream stream(socket, ssl.get());
-  // A new connection has room for the answer: nothing is waited for.
+  // The send buffer of a new connection has space for the answer, so no wait is needed.
   stream.set_write_timeout(absl::ZeroDuration());
   const std::string answer = ErrorAnswer(503, ErrorText(503, "too many connections"));
   const bool written = stream.write(answer.data(), answer.size()) > 0;
@@ -245,12 +245,12 @@
   }
 }
 
-void HttpConnections::MarkEnd(httplib::Response& response) {
+void HttpConnections::AddConnectionClose(httplib::Response& response) {
   const DeadlineStream* const stream = current_stream;
   if (stream == nullptr || stream->read_end() == ReadEnd::kNone) {
     return;
   }
-  // The rest of the request was not read: nothing can follow on this connection.
+  // The rest of the request was not read, so the connection can't be reused.
   response.headers.erase("Keep-Alive");
   response.headers.erase("Connection");
   response.set_header("Connection", "close");
--- a/src/net/http_exchange.cc
+++ b/src/net/http_exchange.cc
@@ -16,29 +16,29 @@
 namespace hingespan {
 namespace {
 
-constexpr absl::Duration kLeastTimeout = absl::Milliseconds(1);
+constexpr absl::Duration kMinTimeout = absl::Milliseconds(1);
 
-// A client with one connection, for one exchange at a time.
+// A client connection, used for one exchange at a time.
 class Connection {
  public:
   virtual ~Connection() = default;
   virtual httplib::ClientImpl& client() = 0;
-  // Prepares an exchange; `exchange` must outlive it.
+  // Prepares the connection for `exchange`, which must outlive its use.
   void Begin(const HttpExchange* exchange) {
     exchange_ = exchange;
     end_ = ReadEnd::kNone;
     sent_ = false;
     received_ = false;
   }
-  // A piece of the body came: the deadline moves if there is an idle limit.
+  // Called for each received piece of the body; from then on the idle limit applies, if any.
   void OnPiece() { received_ = true; }
   ReadEnd read_end() const { return end_; }
-  // Whether a connection was there to send on.
+  // True if the connection was established, so that something may have been sent.
   bool sent() const { return sent_; }
   absl::Time idle_since;
 
  protected:
-  // A stream that moves its deadline as pieces come.
+  // Stream that extends its deadline by the idle limit as pieces arrive.
   class ExchangeStream : public DeadlineStream {
    public:
     ExchangeStream(int socket, SSL* ssl, const Connection& connection)
@@ -68,7 +68,7 @@
     sent_ = true;
     ExchangeStream stream(socket, ssl, *this);
     stream.set_read_deadline(exchange_->deadline);
-    stream.set_write_timeout(std::max(kLeastTimeout, exchange_->deadline - SystemClock().Now()));
+    stream.set_write_timeout(std::max(kMinTimeout, exchange_->deadline - SystemClock().Now()));
     stream.set_cancelled(exchange_->cancelled);
     if (exchange_->on_piece != nullptr) {
       stream.UseBlockingReads();
@@ -155,64 +155,64 @@
 }  // namespace
 
 struct HttpClientPool::State {
-  using Kept = std::deque<std::unique_ptr<Connection>>;
+  using IdleConnections = std::deque<std::unique_ptr<Connection>>;
 
-  std::unique_ptr<Connection> Take(const std::string& address) ABSL_LOCKS_EXCLUDED(mutex);
-  void Keep(const std::string& address, std::unique_ptr<Connection> connection)
+  std::unique_ptr<Connection> TakeIdle(const std::string& address) ABSL_LOCKS_EXCLUDED(mutex);
+  void ReturnIdle(const std::string& address, std::unique_ptr<Connection> connection)
       ABSL_LOCKS_EXCLUDED(mutex);
-  // Moves out connections that have been idle for too long, for the caller to end.
-  void TakeStale(absl::Time now, Kept* stale) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+  // Moves expired idle connections to `expired`, so that they are closed without holding the mutex.
+  void RemoveExpired(absl::Time now, IdleConnections* expired) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
 
   HttpClientOptions options;
   mutable absl::Mutex mutex;
-  // Used latest at the back.
-  absl::flat_hash_map<std::string, Kept> kept ABSL_GUARDED_BY(mutex);
+  // Idle connections by address, the most recently used last.
+  absl::flat_hash_map<std::string, IdleConnections> idle ABSL_GUARDED_BY(mutex);
   absl::Time next_prune ABSL_GUARDED_BY(mutex) = absl::InfinitePast();
   std::size_t connections_made ABSL_GUARDED_BY(mutex) = 0;
 };
 
-std::unique_ptr<Connection> HttpClientPool::State::Take(const std::string& address) {
+std::unique_ptr<Connection> HttpClientPool::State::TakeIdle(const std::string& address) {
   const absl::Time now = SystemClock().Now();
-  Kept stale;
+  IdleConnections expired;
   absl::MutexLock lock(&mutex);
-  TakeStale(now, &stale);
-  const auto found = kept.find(address);
-  if (found == kept.end() || found->second.empty()) {
+  RemoveExpired(now, &expired);
+  const auto found = idle.find(address);
+  if (found == idle.end() || found->second.empty()) {
     return nullptr;
   }
   std::unique_ptr<Connection> connection = std::move(found->second.back());
   found->second.pop_back();
   if (now - connection->idle_since > options.maximum_idle) {
-    stale.push_back(std::move(connection));
+    expired.push_back(std::move(connection));
     return nullptr;
   }
   return connection;
 }
 
-void HttpClientPool::State::TakeStale(absl::Time now, Kept* stale) {
+void HttpClientPool::State::RemoveExpired(absl::Time now, IdleConnections* expired) {
   if (now < next_prune) {
     return;
   }
   next_prune = now + options.maximum_idle;
-  for (auto entry = kept.begin(); entry != kept.end();) {
-    Kept& connections = entry->second;
+  for (auto entry = idle.begin(); entry != idle.end();) {
+    IdleConnections& connections = entry->second;
     while (!connections.empty() && now - connections.front()->idle_since > options.maximum_idle) {
-      stale->push_back(std::move(connections.front()));
+      expired->push_back(std::move(connections.front()));
       connections.pop_front();
     }
     const auto present = entry++;
     if (connections.empty()) {
-      kept.erase(present);
+      idle.erase(present);
     }
   }
 }
 
-void HttpClientPool::State::Keep(const std::string& address,
-                                 std::unique_ptr<Connection> connection) {
+void HttpClientPool::State::ReturnIdle(const std::string& address,
+                                       std::unique_ptr<Connection> connection) {
   connection->idle_since = SystemClock().Now();
   absl::MutexLock lock(&mutex);
-  Kept& connections = kept[address];
-  if (connections.size() < options.maximum_kept) {
+  IdleConnections& connections = idle[address];
+  if (connections.size() < options.maximum_idle_connections) {
     connections.push_back(std::move(connection));
   }
 }
@@ -235,7 +235,7 @@
   if (!address.ok() || left <= absl::ZeroDuration()) {
     return answer;
   }
-  std::unique_ptr<Connection> connection = state_->Take(exchange.address);
+  std::unique_ptr<Connection> connection = state_->TakeIdle(exchange.address);
   if (connection == nullptr) {
     connection = MakeConnection(state_->options, *address);
     connection->client().set_keep_alive(true);
@@ -247,7 +247,7 @@
   }
   const auto connect_timeout = std::min(left, state_->options.connect_timeout);
   connection->client().set_connection_timeout(
-      absl::ToChronoMicroseconds(std::max(kLeastTimeout, connect_timeout)));
+      absl::ToChronoMicroseconds(std::max(kMinTimeout, connect_timeout)));
   connection->Begin(&exchange);
 
   httplib::Request request = MakeRequest(exchange);
@@ -276,7 +276,7 @@
   if (connection->client().send(request, response, error)) {
     answer.end = ExchangeEnd::kComplete;
     answer.status = response.status;
-    state_->Keep(exchange.address, std::move(connection));
+    state_->ReturnIdle(exchange.address, std::move(connection));
     return answer;
   }
   answer.end = EndOf(*connection, error);
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -18,27 +18,28 @@
 namespace hingespan {
 namespace {
 
-// cpp-httplib listens with a backlog of 5; bursts at many routers need more.
+// cpp-httplib listens with a backlog of 5, which is too small for bursts from many routers.
 constexpr int kListenBacklog = 512;
-// Connections half made when a stop begins arrive within a few round trips.
+// TCP handshakes in progress when a stop begins complete within a few round trips.
 constexpr absl::Duration kBacklogSettle = absl::Milliseconds(50);
-constexpr absl::Duration kEmptyBacklogBound = absl::Seconds(1);
-constexpr absl::Duration kStartPoll = absl::Milliseconds(1);
+constexpr absl::Duration kBacklogDrainTimeout = absl::Seconds(1);
+constexpr absl::Duration kStartPollInterval = absl::Milliseconds(1);
 
-// SO_REUSEADDR only: cpp-httplib's default, SO_REUSEPORT, would let two processes share a port.
+// Sets only SO_REUSEADDR; cpp-httplib's default, SO_REUSEPORT, would let two processes share a
+// port.
 void SetSocketOptions(socket_t socket) {
   const int on = 1;
   setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
 }
 
-// Hands accepted sockets to HttpConnections instead of cpp-httplib's own loop.
+// cpp-httplib server that passes accepted sockets to HttpConnections instead of its own loop.
 class AcceptingServer {
  public:
   virtual ~AcceptingServer() = default;
   virtual httplib::Server& server() = 0;
-  virtual void GrowBacklog() = 0;
-  // Lets no new connection in, and waits until none waits to be accepted, for a bounded time.
-  virtual void EmptyBacklog() = 0;
+  virtual void SetListenBacklog() = 0;
+  // Admits no new connections, and waits up to a time limit until the backlog is empty.
+  virtual void DrainBacklog() = 0;
 };
 
 template <typename Base>
@@ -49,14 +50,14 @@
       : Base(arguments...), connections_(connections) {}
 
   httplib::Server& server() override { return *this; }
-  void GrowBacklog() override { ::listen(this->svr_sock_, kListenBacklog); }
+  void SetListenBacklog() override { ::listen(this->svr_sock_, kListenBacklog); }
 
-  void EmptyBacklog() override {
+  void DrainBacklog() override {
     const socket_t socket = this->svr_sock_;
     if (!DropNewConnections(socket)) {
       ::listen(socket, 0);
     }
-    AwaitEmptyBacklog(socket, kBacklogSettle, kEmptyBacklogBound);
+    AwaitEmptyBacklog(socket, kBacklogSettle, kBacklogDrainTimeout);
   }
 
  private:
@@ -113,7 +114,7 @@
     state_->connections.FillError(response);
   });
   server.set_post_routing_handler([](const httplib::Request&, httplib::Response& response) {
-    HttpConnections::MarkEnd(response);
+    HttpConnections::AddConnectionClose(response);
   });
 }
 
@@ -135,14 +136,14 @@
   } else if (!routes().bind_to_port(parsed->host, port)) {
     return Error::kUnavailable;
   }
-  state_->acceptor->GrowBacklog();
+  state_->acceptor->SetListenBacklog();
   return absl::StrCat(parsed->host, ":", port);
 }
 
 void HttpServer::Start() {
   state_->thread = std::thread([this] { routes().listen_after_bind(); });
   while (!routes().is_running()) {
-    absl::SleepFor(kStartPoll);
+    absl::SleepFor(kStartPollInterval);
   }
 }
 
@@ -152,12 +153,12 @@
   if (!state_->thread.joinable()) {
     return true;
   }
-  state_->acceptor->EmptyBacklog();
+  state_->acceptor->DrainBacklog();
   state_->connections.BeginStop();
   routes().stop();
-  const bool whole = state_->connections.EndAll(grace);
+  const bool complete = state_->connections.EndAll(grace);
   state_->thread.join();
-  return whole;
+  return complete;
 }
 
 HttpServerCounters HttpServer::counters() const { return state_->connections.counters(); }
--- a/src/net/listening_socket.h
+++ b/src/net/listening_socket.h
@@ -1,4 +1,4 @@
-// The end of a listening socket's life, without a connection that is reset.
+// Closing of a listening socket without resetting connections in its backlog.
 #ifndef HINGESPAN_SRC_NET_LISTENING_SOCKET_H_
 #define HINGESPAN_SRC_NET_LISTENING_SOCKET_H_
 
@@ -6,13 +6,13 @@
 
 namespace hingespan {
 
-// From now on the kernel drops the first packet of each new connection to the listening socket, so
-// that nothing more enters its backlog. Callers send that packet again after a second; once the
-// socket is closed they are refused. False where the kernel can't do it.
+// Makes the kernel drop the SYN of each new connection to the listening socket, so that its backlog
+// stops growing. Callers retransmit the SYN after a second and are refused once the socket is
+// closed. Returns false if the kernel does not support it.
 bool DropNewConnections(int socket);
 
 // Waits until the listening socket's backlog has been empty for `settle`, the time in which
-// connections half made may still arrive, but no longer than `bound`. Others accept meanwhile.
+// handshakes in progress may still complete, but at most `bound`. Other threads accept meanwhile.
 void AwaitEmptyBacklog(int socket, absl::Duration settle, absl::Duration bound);
 
 }  // namespace hingespan
--- a/src/net/request_head.cc
+++ b/src/net/request_head.cc
@@ -50,8 +50,8 @@
   absl::string_view type;
 };
 
-// Notes a header that tells about the body; false when it can't be understood.
-bool NoteBodyHeader(const HeaderLine& header, BodyHeaders* body) {
+// Records a header that describes the body; returns false if its value is invalid.
+bool RecordBodyHeader(const HeaderLine& header, BodyHeaders* body) {
   if (absl::EqualsIgnoreCase(header.name, "content-length")) {
     ++body->lengths;
     return IsDecimal(header.value) && absl::SimpleAtoi(header.value, &body->length);
@@ -105,7 +105,7 @@
   std::string text = absl::StrCat(lines[0], "\r\n");
   for (std::size_t index = 1; index < lines.size() && !lines[index].empty(); ++index) {
     const std::optional<HeaderLine> header = ParseHeaderLine(lines[index]);
-    if (!header.has_value() || !NoteBodyHeader(*header, &body)) {
+    if (!header.has_value() || !RecordBodyHeader(*header, &body)) {
       return Refused(400, "malformed header");
     }
     if (!absl::EqualsIgnoreCase(header->name, "range")) {
--- a/src/net/socket_linger.cc
+++ b/src/net/socket_linger.cc
@@ -15,12 +15,12 @@
 namespace hingespan {
 namespace {
 
-constexpr std::size_t kDropBytes = 64 * 1024;
+constexpr std::size_t kDiscardBufferBytes = 64 * 1024;
 
-// Drops what can be read without waiting, in one step. False: the other side has ended.
-bool DropSome(int socket, std::size_t* bytes) {
-  std::array<char, kDropBytes> dropped;
-  const ssize_t count = recv(socket, dropped.data(), dropped.size(), MSG_DONTWAIT);
+// Discards available input with one non-blocking read. Returns false if the peer has closed.
+bool DiscardInput(int socket, std::size_t* bytes) {
+  std::array<char, kDiscardBufferBytes> discarded;
+  const ssize_t count = recv(socket, discarded.data(), discarded.size(), MSG_DONTWAIT);
   if (count > 0) {
     *bytes += static_cast<std::size_t>(count);
     return true;
@@ -55,14 +55,14 @@
     close(added_.front().socket);
     added_.pop_front();
   }
-  added_.push_back({socket, SystemClock().Now() + kLinger, 0});
+  added_.push_back({socket, SystemClock().Now() + kLingerTimeout, 0});
   eventfd_write(wake_, 1);
 }
 
 void SocketLinger::Run() {
   while (TakeAdded()) {
     Wait();
-    DropAndClose();
+    DiscardAndClose();
   }
 }
 
@@ -95,10 +95,10 @@
   eventfd_read(wake_, &woken);
 }
 
-void SocketLinger::DropAndClose() {
+void SocketLinger::DiscardAndClose() {
   const absl::Time now = SystemClock().Now();
   const auto has_ended = [now](Entry& entry) {
-    const bool open = DropSome(entry.socket, &entry.bytes);
+    const bool open = DiscardInput(entry.socket, &entry.bytes);
     const bool ended = !open || now >= entry.until || entry.bytes > kMaximumLingerBytes;
     if (ended) {
       close(entry.socket);
--- a/src/net/thread_pool.cc
+++ b/src/net/thread_pool.cc
@@ -8,26 +8,26 @@
 
 bool ThreadPool::TrySubmit(Task task) {
   std::vector<pthread_t> ended;
-  bool taken = false;
+  bool accepted = false;
   {
     absl::MutexLock lock(&mutex_);
     ended.swap(ended_);
-    const std::size_t room = options_.maximum_threads + options_.maximum_queue;
-    if (!shut_down_ && running_ + queue_.size() < room) {
-      // Every waiting task beyond the idle threads needs a thread of its own, if one may start.
+    const std::size_t capacity = options_.maximum_threads + options_.maximum_queue;
+    if (!shut_down_ && running_ + queue_.size() < capacity) {
+      // If no thread is idle, the task needs a new thread, unless the limit is reached.
       const bool needs_thread = running_ + queue_.size() >= threads_;
       const bool may_start = threads_ < options_.maximum_threads;
       const bool started = needs_thread && may_start && StartThread();
       if (started || !needs_thread || (threads_ > 0 && options_.maximum_queue > 0)) {
         queue_.push_back(std::move(task));
-        taken = true;
+        accepted = true;
       }
     }
   }
   for (const pthread_t thread : ended) {
     pthread_join(thread, nullptr);
   }
-  return taken;
+  return accepted;
 }
 
 bool ThreadPool::StartThread() {
@@ -53,7 +53,7 @@
   while (true) {
     mutex_.AwaitWithTimeout(absl::Condition(this, &ThreadPool::HasWork), options_.idle_timeout);
     if (queue_.empty()) {
-      // Idle for long, or shut down with nothing left to run.
+      // Either idle for too long, or shut down with no tasks left.
       break;
     }
     Task task = std::move(queue_.front());
--- a/tests/net/connection_limiter_test.cc
+++ b/tests/net/connection_limiter_test.cc
@@ -12,18 +12,18 @@
 
 constexpr absl::Duration kLimit = absl::Seconds(20);
 
-TEST_CASE("connections are served, then refused, then closed at once") {
+TEST_CASE("connections are served, then refused, then closed immediately") {
   ConnectionLimiter limiter(2, 1);
   absl::Mutex mutex;
-  std::vector<ConnectionFate> fates;
+  std::vector<ConnectionAdmission> admissions;
   absl::Notification release;
   const auto hold = [&] {
-    const ConnectionFate fate = ConnectionLimiter::CurrentFate();
+    const ConnectionAdmission admission = ConnectionLimiter::CurrentAdmission();
     {
       absl::MutexLock lock(&mutex);
-      fates.push_back(fate);
+      admissions.push_back(admission);
     }
-    if (fate != ConnectionFate::kClose) {
+    if (admission != ConnectionAdmission::kClose) {
       release.WaitForNotificationWithTimeout(kLimit);
     }
   };
@@ -35,27 +35,27 @@
   int served = 0;
   int refused = 0;
   int closed = 0;
-  for (const ConnectionFate fate : fates) {
-    served += fate == ConnectionFate::kServe ? 1 : 0;
-    refused += fate == ConnectionFate::kRefuse ? 1 : 0;
-    closed += fate == ConnectionFate::kClose ? 1 : 0;
+  for (const ConnectionAdmission admission : admissions) {
+    served += admission == ConnectionAdmission::kServe ? 1 : 0;
+    refused += admission == ConnectionAdmission::kRefuse ? 1 : 0;
+    closed += admission == ConnectionAdmission::kClose ? 1 : 0;
   }
   CHECK(served == 2);
   CHECK(refused == 1);
   CHECK(closed == 2);
 }
 
-TEST_CASE("a freed place is served again") {
+TEST_CASE("a connection is served again after another one has ended") {
   ConnectionLimiter limiter(1, 1);
   absl::Notification ended;
   limiter.enqueue([&] { ended.Notify(); });
   REQUIRE(ended.WaitForNotificationWithTimeout(kLimit));
-  ConnectionFate fate = ConnectionFate::kClose;
-  // The place is freed a moment after the task ended: until then the fate is another.
-  while (fate != ConnectionFate::kServe) {
+  ConnectionAdmission admission = ConnectionAdmission::kClose;
+  // The slot is released slightly after the task has ended; until then connections are refused.
+  while (admission != ConnectionAdmission::kServe) {
     absl::Notification seen;
     limiter.enqueue([&] {
-      fate = ConnectionLimiter::CurrentFate();
+      admission = ConnectionLimiter::CurrentAdmission();
       seen.Notify();
     });
     REQUIRE(seen.WaitForNotificationWithTimeout(kLimit));
--- a/tests/net/http_exchange_test.cc
+++ b/tests/net/http_exchange_test.cc
@@ -15,10 +15,10 @@
 
 constexpr absl::Duration kLimit = absl::Seconds(20);
 
-// Takes one connection, sends `head`, then byte after byte until the other side closes.
-class DrippingServer {
+// Accepts one connection and sends `head`, then single bytes slowly until the peer closes.
+class SlowServer {
  public:
-  explicit DrippingServer(std::string head) : head_(std::move(head)) {
+  explicit SlowServer(std::string head) : head_(std::move(head)) {
     listener_ = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     const SocketAddress any = *ParseSocketAddress("127.0.0.1:0");
     bind(listener_, reinterpret_cast<const sockaddr*>(&any.storage), any.length);
@@ -27,28 +27,28 @@
     socklen_t length = sizeof(bound);
     getsockname(listener_, reinterpret_cast<sockaddr*>(&bound), &length);
     address_ = FormatSocketAddress(bound);
-    thread_ = std::thread([this] { Drip(); });
+    thread_ = std::thread([this] { SendSlowly(); });
   }
-  ~DrippingServer() {
+  ~SlowServer() {
     thread_.join();
     close(listener_);
   }
   const std::string& address() const { return address_; }
 
  private:
-  static constexpr int kMaximumDrips = 4000;
-  static constexpr int kDripMs = 5;
+  static constexpr int kMaximumSlowBytes = 4000;
+  static constexpr int kByteIntervalMs = 5;
 
-  void Drip() {
+  void SendSlowly() {
     const int connection = accept(listener_, nullptr, nullptr);
     std::string bytes = head_;
-    for (int drips = 0; drips < kMaximumDrips; ++drips) {
+    for (int sent = 0; sent < kMaximumSlowBytes; ++sent) {
       if (send(connection, bytes.data(), bytes.size(), MSG_NOSIGNAL) < 0) {
         break;
       }
       bytes = "x";
       pollfd entry{connection, POLLRDHUP, 0};
-      poll(&entry, 1, kDripMs);
+      poll(&entry, 1, kByteIntervalMs);
     }
     close(connection);
   }
@@ -66,27 +66,27 @@
   return exchange;
 }
 
-TEST_CASE("an answer that drips in ends at the deadline, in its head as in its body") {
+TEST_CASE("an answer that arrives byte by byte ends at the deadline, in its head and its body") {
   const absl::Duration limit = absl::Milliseconds(200);
   SUBCASE("head") {
-    const DrippingServer server("HTTP/1.1 200 OK\r\nX-Slow: ");
+    const SlowServer server("HTTP/1.1 200 OK\r\nX-Slow: ");
     HttpClientPool pool((HttpClientOptions()));
     CHECK(pool.Exchange(Exchange(server.address(), limit)).end == ExchangeEnd::kTimeout);
   }
   SUBCASE("body") {
-    const DrippingServer server("HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n");
+    const SlowServer server("HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n");
     HttpClientPool pool((HttpClientOptions()));
     CHECK(pool.Exchange(Exchange(server.address(), limit)).end == ExchangeEnd::kTimeout);
   }
 }
 
-TEST_CASE("with an idle limit, a stream that goes on outlives the first deadline") {
-  const DrippingServer server("HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\n");
+TEST_CASE("with an idle limit, a stream that keeps arriving outlasts the first deadline") {
+  const SlowServer server("HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\n");
   HttpClientPool pool((HttpClientOptions()));
   HttpExchange exchange = Exchange(server.address(), kLimit);
   exchange.idle_limit = kLimit;
   std::size_t received = 0;
-  // Moves the deadline into the past: only the idle limit counts from here on.
+  // Moves the deadline into the past, so that only the idle limit applies from here on.
   exchange.on_piece = [&](std::string_view piece) {
     exchange.deadline = absl::InfinitePast();
     received += piece.size();
@@ -96,7 +96,7 @@
   CHECK(received == 200);
 }
 
-TEST_CASE("connections are kept for the next exchange, but not for long") {
+TEST_CASE("connections are reused for the next exchange, unless idle for too long") {
   HttpServer server((HttpServerOptions()));
   server.routes().Get("/", [](const httplib::Request&, httplib::Response& response) {
     response.set_content("hello", "text/plain");
@@ -110,13 +110,13 @@
   CHECK(pool.Exchange(Exchange(address, kLimit)).body == "hello");
   CHECK(pool.connections_made() == 1);
   options.maximum_idle = absl::ZeroDuration();
-  HttpClientPool wary(options);
-  CHECK(wary.Exchange(Exchange(address, kLimit)).body == "hello");
-  CHECK(wary.Exchange(Exchange(address, kLimit)).body == "hello");
-  CHECK(wary.connections_made() == 2);
+  HttpClientPool pool_without_reuse(options);
+  CHECK(pool_without_reuse.Exchange(Exchange(address, kLimit)).body == "hello");
+  CHECK(pool_without_reuse.Exchange(Exchange(address, kLimit)).body == "hello");
+  CHECK(pool_without_reuse.connections_made() == 2);
 }
 
-TEST_CASE("no listener, a bad address or no time left: nothing was sent") {
+TEST_CASE("without a listener, a valid address or time left, nothing is sent") {
   std::string address;
   {
     HttpServer server((HttpServerOptions()));
--- a/tests/net/http_server_stop_test.cc
+++ b/tests/net/http_server_stop_test.cc
@@ -1,4 +1,4 @@
-// A server that stops: each connection that the kernel has taken gets an answer.
+// A stopping server answers each connection that the kernel has accepted.
 #include <doctest/doctest.h>
 #include <httplib.h>
 
@@ -35,10 +35,10 @@
   return server;
 }
 
-// Calls a server, on a new connection each time, until a connection is refused.
-class CallsUntilRefused {
+// Sends requests, each on a new connection, until a connection is refused.
+class LoadUntilRefused {
  public:
-  explicit CallsUntilRefused(std::string address) : address_(std::move(address)) {
+  explicit LoadUntilRefused(std::string address) : address_(std::move(address)) {
     thread_ = std::thread([this] { Run(); });
   }
 
@@ -55,8 +55,9 @@
       }
       client.Send("GET /hello HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
       const std::string answer = client.ReadAll();
-      const bool whole = absl::StrContains(answer, " 200 ") || absl::StrContains(answer, " 503 ");
-      ++(whole ? answered_ : unanswered_);
+      const bool complete =
+          absl::StrContains(answer, " 200 ") || absl::StrContains(answer, " 503 ");
+      ++(complete ? answered_ : unanswered_);
     }
   }
 
@@ -66,13 +67,13 @@
   std::thread thread_;
 };
 
-// Stops one server under calls; how many connections it took and did not answer.
+// Stops a server under load. Returns the number of connections that it accepted but did not answer.
 int UnansweredAtStop() {
   std::string address;
   const std::unique_ptr<HttpServer> server = MakeHelloServer(&address);
-  std::vector<std::unique_ptr<CallsUntilRefused>> clients;
+  std::vector<std::unique_ptr<LoadUntilRefused>> clients;
   for (int client = 0; client < kClientsOfServer; ++client) {
-    clients.push_back(std::make_unique<CallsUntilRefused>(address));
+    clients.push_back(std::make_unique<LoadUntilRefused>(address));
   }
   while (clients.front()->answered() < kCallsBeforeStop && clients.front()->unanswered() == 0) {
     std::this_thread::yield();
@@ -86,7 +87,7 @@
   return unanswered;
 }
 
-TEST_CASE("a stop answers or refuses every connection, also those that arrive meanwhile") {
+TEST_CASE("a stop answers or refuses every connection, including those that arrive during it") {
   std::atomic<int> unanswered = 0;
   std::vector<std::thread> servers;
   for (int server = 0; server < kServers; ++server) {
@@ -98,7 +99,7 @@
   CHECK(unanswered == 0);
 }
 
-TEST_CASE("a connection whose first request has not come is told that the server stops") {
+TEST_CASE("a connection without a request yet is told that the server is stopping") {
   std::string address;
   const std::unique_ptr<HttpServer> server = MakeHelloServer(&address);
   RawClient late(address);
@@ -112,9 +113,9 @@
   CHECK(absl::EndsWith(answer, "stopping body"));
 }
 
-// Guards against: a node says that it stopped in order while it cut off an answer that its caller
-// was still reading.
-TEST_CASE("a stop tells whether it cut off an answer that was being written") {
+// Guards against a node that reports a clean stop although it cut off an answer that its caller was
+// still reading.
+TEST_CASE("a stop reports if it cut off an answer that was being written") {
   HttpServerOptions options;
   options.receive_timeout = kLong;
   HttpServer server(options);
@@ -129,20 +130,20 @@
     caller.Send("GET /large HTTP/1.1\r\nHost: x\r\n\r\n");
     REQUIRE(caller.Readable(kRawClientLimitMs));
   };
-  SUBCASE("the caller reads no more") {
-    // More than the connection holds while nobody reads.
+  SUBCASE("the caller stops reading") {
+    // More than the connection buffers while the caller does not read.
     size = 64 << 20;
     ask();
     CHECK(!server.Stop(absl::ZeroDuration()));
   }
-  SUBCASE("the caller reads on") {
+  SUBCASE("the caller keeps reading") {
     size = 4 << 20;
     ask();
-    bool whole = false;
-    std::thread stopper([&] { whole = server.Stop(kLong); });
+    bool complete = false;
+    std::thread stopper([&] { complete = server.Stop(kLong); });
     CHECK(caller.ReadAll().size() > size);
     stopper.join();
-    CHECK(whole);
+    CHECK(complete);
   }
 }
 
--- a/tests/net/http_server_test.cc
+++ b/tests/net/http_server_test.cc
@@ -1,4 +1,4 @@
-// What callers can't do to the server: hold it with slow, endless, oversized or too many requests.
+// Tests that callers can't exhaust the server with slow, endless, oversized or too many requests.
 #include "hingespan/net/http_server.h"
 
 #include <doctest/doctest.h>
@@ -18,9 +18,9 @@
 
 constexpr absl::Duration kShort = absl::Milliseconds(200);
 constexpr absl::Duration kLong = absl::Seconds(20);
-// A sender of single bytes that is not cut off by then is never cut off.
-constexpr int kMaximumDrips = 2000;
-constexpr int kDripMs = 5;
+// A slow sender that is not cut off after this many bytes counts as never cut off.
+constexpr int kMaximumSlowBytes = 2000;
+constexpr int kByteIntervalMs = 5;
 
 std::string ErrorBody(int status, std::string_view problem) {
   return absl::StrCat("{\"status\":", status, ",\"problem\":\"", std::string(problem), "\"}");
@@ -53,10 +53,10 @@
   return options;
 }
 
-// Sends byte after byte until the server answers; the answer.
-std::string Drip(RawClient* client, std::string_view bytes) {
-  for (int sent = 0; sent < kMaximumDrips; ++sent) {
-    if (client->Readable(kDripMs)) {
+// Sends `bytes` repeatedly, one byte at a time, until the server answers. Returns the answer.
+std::string SendSlowly(RawClient* client, std::string_view bytes) {
+  for (int sent = 0; sent < kMaximumSlowBytes; ++sent) {
+    if (client->Readable(kByteIntervalMs)) {
       return client->ReadAll();
     }
     client->Send(bytes.substr(static_cast<std::size_t>(sent) % bytes.size(), 1));
@@ -64,7 +64,7 @@
   return std::string();
 }
 
-TEST_CASE("a whole request is answered, and the connection serves the next one") {
+TEST_CASE("a request is answered, and the connection serves the next one") {
   ServerFixture fixture(WithReceiveTimeout(kLong));
   RawClient client(fixture.address);
   client.Send("GET /hello HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -74,19 +74,19 @@
   CHECK(fixture.server.counters().connections == 1);
 }
 
-TEST_CASE("headers that drip in are cut off at the receive timeout") {
+TEST_CASE("headers that arrive byte by byte are cut off at the receive timeout") {
   ServerFixture fixture(WithReceiveTimeout(kShort));
   RawClient client(fixture.address);
   client.Send("GET /hello HTTP/1.1\r\n");
-  CHECK(absl::StrContains(Drip(&client, "X-Slow: yes\r\n"), "408"));
+  CHECK(absl::StrContains(SendSlowly(&client, "X-Slow: yes\r\n"), "408"));
   CHECK(fixture.server.counters().receive_timeouts == 1);
 }
 
-TEST_CASE("a body that drips in is cut off at the receive timeout") {
+TEST_CASE("a body that arrives byte by byte is cut off at the receive timeout") {
   ServerFixture fixture(WithReceiveTimeout(kShort));
   RawClient client(fixture.address);
   client.Send("POST /echo HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n");
-  const std::string answer = Drip(&client, "a");
+  const std::string answer = SendSlowly(&client, "a");
   CHECK(absl::StrContains(answer, "408"));
   CHECK(absl::StrContains(answer, "Connection: close"));
   CHECK(!absl::StrContains(answer, "Keep-Alive"));
@@ -99,7 +99,7 @@
   CHECK(client.ReadAll().empty());
 }
 
-TEST_CASE("oversized bodies are refused, of known and of unknown length") {
+TEST_CASE("oversized bodies of known and of unknown length are refused") {
   HttpServerOptions options = WithReceiveTimeout(kLong);
   options.maximum_body_bytes = 1000;
   ServerFixture fixture(options);
@@ -119,20 +119,20 @@
   }
 }
 
-TEST_CASE("a path that nobody serves is answered with an error body") {
+TEST_CASE("an unknown path is answered with an error body") {
   ServerFixture fixture(WithReceiveTimeout(kLong));
   RawClient client(fixture.address);
   client.Send("GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n");
   CHECK(absl::StrContains(client.ReadUntil("}"), "no such path"));
 }
 
-TEST_CASE("connections beyond the limit are answered 503 at once") {
+TEST_CASE("connections beyond the limit are answered 503 immediately") {
   HttpServerOptions options = WithReceiveTimeout(kLong);
   options.maximum_connections = 1;
   ServerFixture fixture(options);
   absl::Notification entered;
   absl::Notification release;
-  // Added late, but before any request for it.
+  // Added after Start, but before any request to this path.
   fixture.server.routes().Get("/wait", [&](const httplib::Request&, httplib::Response& response) {
     entered.Notify();
     release.WaitForNotificationWithTimeout(kLong);
@@ -151,7 +151,7 @@
   CHECK(fixture.server.counters().refused == 1);
 }
 
-TEST_CASE("every caller beyond all limits is answered 503, also before the earlier ones left") {
+TEST_CASE("every caller beyond all limits is answered 503 while earlier ones are connected") {
   constexpr int kCallers = 40;
   HttpServerOptions options = WithReceiveTimeout(kLong);
   options.maximum_connections = 1;
@@ -175,10 +175,10 @@
   int answered = 0;
   for (const auto& caller : callers) {
     const std::string refused = caller->ReadUntil("}");
-    const bool whole = absl::StrContains(refused, " 503 ") &&
-                       absl::StrContains(refused, "Retry-After: 1") &&
-                       absl::StrContains(refused, "too many connections");
-    answered += whole ? 1 : 0;
+    const bool complete = absl::StrContains(refused, " 503 ") &&
+                          absl::StrContains(refused, "Retry-After: 1") &&
+                          absl::StrContains(refused, "too many connections");
+    answered += complete ? 1 : 0;
   }
   release.Notify();
   CHECK(answered == kCallers);
@@ -186,18 +186,18 @@
   CHECK(fixture.server.counters().closed == 0);
 }
 
-TEST_CASE("an idle connection gives way when the server is crowded") {
+TEST_CASE("an idle connection is closed when the server is near its limit") {
   HttpServerOptions options = WithReceiveTimeout(kLong);
   options.maximum_connections = 1;
   options.keep_alive_timeout = kLong;
   ServerFixture fixture(options);
   RawClient client(fixture.address);
   client.Send("GET /hello HTTP/1.1\r\nHost: x\r\n\r\n");
-  // One of one is crowded: the answer closes the connection.
+  // One of one connection is in use, so the answer closes it.
   CHECK(absl::StrContains(client.ReadAll(), "hello"));
 }
 
-TEST_CASE("draining ends idle connections, and still answers new ones") {
+TEST_CASE("draining closes idle connections and still answers new ones") {
   HttpServerOptions options = WithReceiveTimeout(kLong);
   options.keep_alive_timeout = kLong;
   ServerFixture fixture(options);
@@ -213,7 +213,7 @@
   CHECK(absl::StrContains(answer, "hello"));
 }
 
-TEST_CASE("stopping ends idle connections and waits for requests in progress") {
+TEST_CASE("stopping closes idle connections and waits for requests in progress") {
   HttpServerOptions options = WithReceiveTimeout(kLong);
   options.keep_alive_timeout = kLong;
   ServerFixture fixture(options);
--- a/tests/net/raw_client.h
+++ b/tests/net/raw_client.h
@@ -1,4 +1,4 @@
-// A TCP client for tests that sends bytes as a well-behaved library would not.
+// TCP client for tests that can send malformed and partial HTTP messages.
 #ifndef HINGESPAN_TESTS_NET_RAW_CLIENT_H_
 #define HINGESPAN_TESTS_NET_RAW_CLIENT_H_
 
@@ -14,7 +14,7 @@
 
 namespace hingespan {
 
-// Every wait is bounded, so that a test that fails ends.
+// Limit of each wait, so that failing tests end.
 inline constexpr int kRawClientLimitMs = 20000;
 
 class RawClient {
@@ -36,13 +36,13 @@
            static_cast<ssize_t>(bytes.size());
   }
 
-  // Whether bytes or the end of the connection can be read within the time.
+  // Returns true if data or the end of the connection can be read within the time.
   bool Readable(int milliseconds) {
     pollfd entry{socket_, POLLIN, 0};
     return poll(&entry, 1, milliseconds) > 0;
   }
 
-  // Reads until `text` was received, or the connection ends.
+  // Reads until `text` was received or the connection ends.
   std::string ReadUntil(std::string_view text) {
     std::string received;
     std::array<char, 4096> buffer;
@@ -56,7 +56,7 @@
     return received;
   }
 
-  // Reads what is there, at most `limit` bytes of it; doesn't wait.
+  // Reads available data without waiting, at most `limit` bytes.
   std::string ReadSome(std::size_t limit) {
     std::string received(limit, '\0');
     const ssize_t size = recv(socket_, received.data(), limit, MSG_DONTWAIT);
@@ -64,7 +64,7 @@
     return received;
   }
 
-  // Reads until the other side closes.
+  // Reads until the peer closes.
   std::string ReadAll() { return ReadUntil(std::string_view("\0never\0", 7)); }
 
   void Close() {
--- a/tests/net/request_head_test.cc
+++ b/tests/net/request_head_test.cc
@@ -17,13 +17,13 @@
   return CheckRequestHead(head, kMaximumBody).status;
 }
 
-TEST_CASE("good heads pass") {
+TEST_CASE("valid heads are accepted") {
   CHECK(StatusOf("GET /a HTTP/1.1", "Host: x\r\n") == 0);
   CHECK(StatusOf("POST /a HTTP/1.1", "content-length: 100\r\n") == 0);
   CHECK(StatusOf("POST /a HTTP/1.1", "Transfer-Encoding: chunked\r\n") == 0);
 }
 
-TEST_CASE("lengths that two readers could understand apart are refused") {
+TEST_CASE("ambiguous body lengths are refused") {
   CHECK(StatusOf("POST /a HTTP/1.1", "Content-Length: 1\r\nContent-Length: 2\r\n") == 400);
   CHECK(StatusOf("POST /a HTTP/1.1", "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n") == 400);
   CHECK(StatusOf("POST /a HTTP/1.1", "Content-Length: -1\r\n") == 400);
@@ -32,7 +32,7 @@
   CHECK(StatusOf("POST /a HTTP/1.1", "Host: x\r\n") == 411);
 }
 
-TEST_CASE("bodies that would grow or recurse are refused") {
+TEST_CASE("too large, compressed or multipart bodies and long targets are refused") {
   CHECK(StatusOf("POST /a HTTP/1.1", "Content-Length: 101\r\n") == 413);
   CHECK(StatusOf("POST /a HTTP/1.1", "Content-Length: 1\r\nContent-Encoding: gzip\r\n") == 415);
   CHECK(StatusOf("POST /a HTTP/1.1",
@@ -47,7 +47,7 @@
   CHECK(StatusOf("GET /a HTTP/1.1", ": no name\r\n") == 400);
 }
 
-TEST_CASE("a Range header is left out") {
+TEST_CASE("a Range header is removed") {
   const RequestHead head =
       CheckRequestHead("GET /a HTTP/1.1\r\nrange: bytes=0-1\r\nHost: x\r\n\r\n", kMaximumBody);
   CHECK(head.status == 0);
--- a/tests/net/test_certificates.h
+++ b/tests/net/test_certificates.h
@@ -1,4 +1,5 @@
-// Certificates for tests, made when they run and written to a directory that the test removes.
+// Certificates for tests, generated at run time in a temporary directory that is removed
+// afterwards.
 #ifndef HINGESPAN_TESTS_NET_TEST_CERTIFICATES_H_
 #define HINGESPAN_TESTS_NET_TEST_CERTIFICATES_H_
 
@@ -13,7 +14,7 @@
 
 namespace hingespan {
 
-// A certificate for 127.0.0.1 that signs itself, and is so its own authority.
+// Self-signed certificate for 127.0.0.1, which is its own authority.
 class TestCertificate {
  public:
   TestCertificate() {
--- a/tests/net/tls_test.cc
+++ b/tests/net/tls_test.cc
@@ -1,4 +1,4 @@
-// TLS on the server and between nodes, with and without client certificates.
+// Tests of TLS on the server and between nodes, with and without client certificates.
 #include <doctest/doctest.h>
 #include <httplib.h>
 
@@ -38,7 +38,7 @@
   return address;
 }
 
-TEST_CASE("nodes talk over TLS and keep the connection") {
+TEST_CASE("nodes communicate over TLS and reuse the connection") {
   const TestCertificate certificate;
   HttpServerOptions options = TlsOptions(certificate);
   options.client_ca_file = certificate.certificate_file();
@@ -56,7 +56,7 @@
   CHECK(pool.connections_made() == 1);
 }
 
-TEST_CASE("a client without a certificate is not served when one is asked for") {
+TEST_CASE("a client without the required certificate is not served") {
   const TestCertificate certificate;
   HttpServerOptions options = TlsOptions(certificate);
   options.client_ca_file = certificate.certificate_file();
@@ -69,7 +69,7 @@
   CHECK(pool.Exchange(Hello(address)).status == 0);
 }
 
-TEST_CASE("a server with an unknown certificate is not talked to") {
+TEST_CASE("a client sends nothing to a server with an unknown certificate") {
   const TestCertificate certificate;
   const TestCertificate other;
   HttpServer server(TlsOptions(certificate));
@@ -81,7 +81,7 @@
   CHECK(pool.Exchange(Hello(address)).end == ExchangeEnd::kNotSent);
 }
 
-TEST_CASE("a handshake that never comes is cut off") {
+TEST_CASE("a connection without a TLS handshake is closed at the timeout") {
   const TestCertificate certificate;
   HttpServerOptions options = TlsOptions(certificate);
   options.receive_timeout = absl::Milliseconds(200);
