--- a/include/hingespan/engine/engine_json.h
+++ b/include/hingespan/engine/engine_json.h
@@ -1,4 +1,4 @@
-// The JSON bodies of the engine protocol: orders out, status and stream lines in.
+// JSON codec of the engine protocol: encodes orders, decodes statuses and stream lines.
 #ifndef HINGESPAN_ENGINE_ENGINE_JSON_H_
 #define HINGESPAN_ENGINE_ENGINE_JSON_H_
 
@@ -15,10 +15,10 @@
 std::string EncodeUnloadOrder(const UnloadOrder& order);
 std::string EncodeGenerationRequest(const GenerationRequest& request);
 
-// Errors of all: kMalformed.
+// Both decoders return kMalformed for input that doesn't match the protocol.
 Result<EngineStatus> DecodeEngineStatus(std::string_view body);
 Result<GenerationChunk> DecodeGenerationChunk(std::string_view line);
-// The "error" of a refusal; empty when there is none.
+// Returns the "error" member of an error response, or an empty string if there is none.
 std::string DecodeEngineError(std::string_view body);
 
 }  // namespace hingespan
--- a/include/hingespan/engine/http_engine_client.h
+++ b/include/hingespan/engine/http_engine_client.h
@@ -1,4 +1,4 @@
-// EngineClient over HTTP, for engines that speak the protocol of docs/EMULATOR.md.
+// EngineClient over HTTP, for engines that implement the protocol of docs/EMULATOR.md.
 #ifndef HINGESPAN_ENGINE_HTTP_ENGINE_CLIENT_H_
 #define HINGESPAN_ENGINE_HTTP_ENGINE_CLIENT_H_
 
@@ -11,12 +11,12 @@
 namespace hingespan {
 
 struct HttpEngineClientOptions {
-  // Resumptions of a broken stream in a row that bring nothing new, at most.
+  // Maximum number of consecutive resumptions of a broken stream that yield no new chunk.
   int maximum_resumes = 5;
-  // Pause before the first resumption; doubles with each in a row.
-  absl::Duration resume_pause = absl::Milliseconds(10);
+  // Initial backoff between resumptions without progress; doubles with each further one.
+  absl::Duration resume_backoff = absl::Milliseconds(10);
   absl::Duration cancel_timeout = absl::Seconds(1);
-  // Cancellations that wait to be sent, at most; those beyond are dropped.
+  // Maximum number of queued cancellations; further ones are dropped.
   std::size_t maximum_cancels = 256;
 };
 
@@ -24,7 +24,7 @@
 class HttpEngineClient : public EngineClient {
  public:
   explicit HttpEngineClient(HttpEngineClientOptions options);
-  // Waits for cancellations under way.
+  // Waits for cancellations in flight.
   ~HttpEngineClient() override;
 
   Result<EngineStatus> Fence(const std::string& base_url, WorkerIncarnation incarnation,
@@ -36,7 +36,8 @@
                               absl::Duration timeout) override;
   GenerationResult Generate(const std::string& base_url, const GenerationRequest& request,
                             absl::Time deadline, const ChunkSink& sink) override;
-  // Returns at once; the engine is told in the background, once, and its answer is not waited for.
+  // Returns immediately. The cancellation is sent to the engine once, in the background, and its
+  // response is not awaited.
   void Cancel(const std::string& base_url, const RequestId& request) override;
 
  private:
--- a/include/hingespan/engine/replica_state_name.h
+++ b/include/hingespan/engine/replica_state_name.h
@@ -1,4 +1,4 @@
-// The name of a replica's state, as engines and operators read it.
+// Name of a replica's state as used in the engine protocol and shown to operators.
 #ifndef HINGESPAN_ENGINE_REPLICA_STATE_NAME_H_
 #define HINGESPAN_ENGINE_REPLICA_STATE_NAME_H_
 
--- a/include/hingespan/engine/stream_assembler.h
+++ b/include/hingespan/engine/stream_assembler.h
@@ -1,4 +1,4 @@
-// Puts a streamed answer together from pieces of bytes, over broken and resumed connections.
+// Reassembles a streamed answer from byte fragments across broken and resumed connections.
 #ifndef HINGESPAN_ENGINE_STREAM_ASSEMBLER_H_
 #define HINGESPAN_ENGINE_STREAM_ASSEMBLER_H_
 
@@ -13,21 +13,22 @@
 // Not thread-safe.
 class StreamAssembler {
  public:
-  // Chunks go to `sink` in order, each once; `sink` must outlive this. `waits_are_announced` is
-  // told with each chunk.
+  // Passes each chunk to `sink` exactly once and in order; `sink` must outlive this object.
+  // `waits_are_announced` is copied into GenerationChunk::wait_is_announced of each chunk.
   explicit StreamAssembler(const ChunkSink* sink, bool waits_are_announced = false)
       : sink_(sink), waits_are_announced_(waits_are_announced) {}
 
-  // A new connection: an unfinished line of the one before is dropped.
+  // Starts a new connection; discards an incomplete line of the previous one.
   void BeginConnection();
-  // Takes bytes. False: the connection is of no more use (see gap, malformed, refused).
+  // Consumes bytes. Returns false if the connection can't be used any further: a line was malformed
+  // or too long, a sequence number was skipped, or the sink refused a chunk.
   bool Add(std::string_view bytes);
 
-  // The terminal marker has come.
-  bool whole() const { return whole_; }
-  // The sink refused a chunk.
+  // True once the terminal marker was received.
+  bool complete() const { return complete_; }
+  // True if the sink refused a chunk.
   bool refused() const { return refused_; }
-  // The latest chunk in order.
+  // Sequence number of the latest chunk passed to the sink.
   std::uint64_t last_sequence() const { return last_sequence_; }
 
  private:
@@ -37,7 +38,7 @@
   const bool waits_are_announced_;
   std::string partial_line_;
   std::uint64_t last_sequence_ = 0;
-  bool whole_ = false;
+  bool complete_ = false;
   bool refused_ = false;
 };
 
--- a/src/engine/engine_json.cc
+++ b/src/engine/engine_json.cc
@@ -7,7 +7,7 @@
 
 using Json = nlohmann::json;
 
-// Invalid UTF-8 must not end the program.
+// Replaces invalid UTF-8, as nlohmann::json would throw an uncaught exception by default.
 std::string Dump(const Json& json) {
   return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
@@ -66,10 +66,11 @@
   return status;
 }
 
-// Reads a chunk's members as they come: a stream has many chunks, and a tree for each costs more.
+// SAX parser for a chunk. Streams have many chunks, and building a document tree for each costs
+// more.
 class ChunkReader : public nlohmann::json_sax<Json> {
  public:
-  // The chunk, if its members were all there.
+  // Returns the chunk, or kMalformed if a required member is missing.
   Result<GenerationChunk> Take() {
     if (!has_sequence_ || !has_text_) {
       return Error::kMalformed;
@@ -163,9 +164,10 @@
     return name == "completion_tokens" ? Member::kCompletionTokens : Member::kUnknown;
   }
 
-  // Values deeper down belong to members that are passed over.
+  // Returns the current member; nested values belong to unknown members, which are ignored.
   Member Current() const { return depth_ == 1 ? member_ : Member::kUnknown; }
-  // A known member of another type makes the chunk unreadable.
+  // Returns false for a value of a known member, which then has the wrong type and makes the chunk
+  // malformed.
   bool IsUnknown() const { return depth_ > 0 && Current() == Member::kUnknown; }
   bool Enter() {
     const bool allowed = depth_ == 0 || IsUnknown();
--- a/src/engine/http_engine_client.cc
+++ b/src/engine/http_engine_client.cc
@@ -18,7 +18,7 @@
 
 constexpr char kJsonType[] = "application/json";
 constexpr std::size_t kCancelThreads = 2;
-constexpr int kMaximumPauseDoublings = 6;
+constexpr int kMaximumBackoffDoublings = 6;
 
 struct EngineAddress {
   std::string address;
@@ -92,7 +92,7 @@
   }
 }
 
-// Refusals of /generate: the engine says that it did not run the request.
+// Returns whether a response to /generate states that the engine did not run the request.
 bool IsRefusal(int status) { return status == 409 || status == 503; }
 
 Error ErrorOfRefusal(const HttpAnswer& answer) {
@@ -110,8 +110,10 @@
 }  // namespace
 
 struct HttpEngineClient::State {
-  explicit State(HttpEngineClientOptions given)
-      : options(given), pool(HttpClientOptions()), cancels(CancelPool(given)) {}
+  explicit State(HttpEngineClientOptions initial_options)
+      : options(initial_options),
+        pool(HttpClientOptions()),
+        cancel_threads(CancelPool(initial_options)) {}
 
   static ThreadPoolOptions CancelPool(const HttpEngineClientOptions& options) {
     ThreadPoolOptions pool_options;
@@ -120,13 +122,13 @@
     return pool_options;
   }
 
-  // One call that is answered with a status.
+  // Sends one request whose response is an engine status.
   Result<EngineStatus> Call(const std::string& base_url, const std::string& method,
                             const std::string& path, std::string body, absl::Duration timeout);
 
   HttpEngineClientOptions options;
   HttpClientPool pool;
-  ThreadPool cancels;
+  ThreadPool cancel_threads;
 };
 
 namespace {
@@ -178,8 +180,8 @@
     return exchange;
   }
 
-  // Until the first piece, and always without an idle limit, the caller's; then from piece to
-  // piece.
+  // Returns the caller's deadline until the first chunk, or always if there is no idle limit;
+  // afterwards the idle limit counted from the latest piece.
   absl::Time CurrentDeadline() const {
     const bool idle = request_.idle_limit != absl::InfiniteDuration();
     return idle && assembler_.last_sequence() > 0 ? last_piece_ + request_.idle_limit : deadline_;
@@ -191,12 +193,12 @@
 
   bool Cancelled() const { return request_.cancelled != nullptr && request_.cancelled(); }
 
-  // Resumes until the stream is whole, hopeless, or out of time.
+  // Resumes the stream until it is complete, can't be resumed or has reached its deadline.
   GenerationResult Continue(HttpAnswer answer) {
     int resumes = 0;
     std::uint64_t resumed_after = assembler_.last_sequence();
     while (true) {
-      if (assembler_.whole()) {
+      if (assembler_.complete()) {
         return Ended(GenerationOutcome::kComplete, Error::kOk);
       }
       if (assembler_.refused() || Cancelled()) {
@@ -213,7 +215,7 @@
         return Ended(GenerationOutcome::kMayHaveRun, Error::kAnswerLost);
       }
       if (resumes > 0) {
-        Pause(resumes - 1);
+        BackOff(resumes - 1);
       }
       ++resumes;
       resumed_after = assembler_.last_sequence();
@@ -227,10 +229,10 @@
     return pool_->Exchange(MakeExchange("GET", path));
   }
 
-  void Pause(int earlier) {
-    const int doublings = std::min(earlier, kMaximumPauseDoublings);
+  void BackOff(int earlier_resumes) {
+    const int doublings = std::min(earlier_resumes, kMaximumBackoffDoublings);
     const absl::Duration left = CurrentDeadline() - SystemClock().Now();
-    absl::SleepFor(std::min(left, options_.resume_pause * (1 << doublings)));
+    absl::SleepFor(std::min(left, options_.resume_backoff * (1 << doublings)));
   }
 
   HttpClientPool* const pool_;
@@ -303,9 +305,9 @@
   }
   Generation generation(&state_->pool, state_->options, *engine, request, deadline, sink);
   const GenerationResult result = generation.Run();
-  const bool may_run_on = result.outcome == GenerationOutcome::kCancelled ||
-                          result.outcome == GenerationOutcome::kMayHaveRun;
-  if (may_run_on) {
+  const bool may_still_run = result.outcome == GenerationOutcome::kCancelled ||
+                             result.outcome == GenerationOutcome::kMayHaveRun;
+  if (may_still_run) {
     Cancel(base_url, request.request);
   }
   return result;
@@ -321,7 +323,7 @@
   exchange.method = "DELETE";
   exchange.path = StreamPath(*engine, request);
   State* const state = state_.get();
-  state->cancels.TrySubmit([state, exchange]() mutable {
+  state->cancel_threads.TrySubmit([state, exchange]() mutable {
     exchange.deadline = SystemClock().Now() + state->options.cancel_timeout;
     state->pool.Exchange(exchange);
   });
--- a/src/engine/stream_assembler.cc
+++ b/src/engine/stream_assembler.cc
@@ -5,7 +5,7 @@
 namespace hingespan {
 namespace {
 
-// A longer line is no chunk; what follows it can't be trusted.
+// A longer line can't be a chunk, and the data after it can't be trusted.
 constexpr std::size_t kMaximumLineBytes = 1 << 20;
 
 }  // namespace
@@ -28,9 +28,9 @@
       continue;
     }
     partial_line_.append(line);
-    const std::string whole_line = std::move(partial_line_);
+    const std::string complete_line = std::move(partial_line_);
     partial_line_.clear();
-    if (!AddLine(whole_line)) {
+    if (!AddLine(complete_line)) {
       return false;
     }
   }
@@ -38,12 +38,12 @@
 }
 
 bool StreamAssembler::AddLine(std::string_view line) {
-  if (line.empty() || whole_) {
+  if (line.empty() || complete_) {
     return true;
   }
   Result<GenerationChunk> chunk = DecodeGenerationChunk(line);
   if (!chunk.ok() || chunk->sequence > last_sequence_ + 1) {
-    // Unreadable, or a gap: what is missing must be asked for again.
+    // A malformed line or a gap: the missing chunks must be requested again.
     return false;
   }
   if (chunk->sequence <= last_sequence_) {
@@ -55,7 +55,7 @@
     return false;
   }
   last_sequence_ = chunk->sequence;
-  whole_ = chunk->last;
+  complete_ = chunk->last;
   return true;
 }
 
--- a/tests/engine/engine_json_test.cc
+++ b/tests/engine/engine_json_test.cc
@@ -5,7 +5,7 @@
 namespace hingespan {
 namespace {
 
-TEST_CASE("a chunk, whatever the order of its members, with unknown ones passed over") {
+TEST_CASE("a chunk is decoded in any member order and unknown members are ignored") {
   const Result<GenerationChunk> chunk = DecodeGenerationChunk(
       R"({"new":{"text":[1,{"last":true}]},"text":"a\"\u00e9","sequence":7,"more":null})");
   REQUIRE(chunk.ok());
@@ -14,7 +14,7 @@
   CHECK(!chunk->last);
 }
 
-TEST_CASE("the last chunk") {
+TEST_CASE("the last chunk is decoded with its finish reason and token counts") {
   const Result<GenerationChunk> chunk = DecodeGenerationChunk(
       R"({"sequence":9,"text":"","last":true,"finish_reason":"length","prompt_tokens":3,)"
       R"("completion_tokens":4})");
@@ -25,7 +25,7 @@
   CHECK(chunk->completion_tokens == 4);
 }
 
-TEST_CASE("what is no chunk is malformed") {
+TEST_CASE("invalid chunks are malformed") {
   for (const char* const line :
        {"", "{", "[]", "1", "\"text\"", R"({"sequence":1})", R"({"text":"a"})",
         R"({"sequence":-1,"text":"a"})", R"({"sequence":"1","text":"a"})",
--- a/tests/engine/http_engine_client_test.cc
+++ b/tests/engine/http_engine_client_test.cc
@@ -1,4 +1,5 @@
-// Streams over broken links: whole answers, in order, each chunk once; "not run" only when true.
+// Tests that broken streams are resumed to complete answers, with each chunk delivered once and in
+// order, and that kNotRun is reported only for requests that the engine did not run.
 #include "hingespan/engine/http_engine_client.h"
 
 #include <doctest/doctest.h>
@@ -17,7 +18,7 @@
 namespace hingespan {
 namespace {
 
-constexpr absl::Duration kLong = absl::Seconds(20);
+constexpr absl::Duration kTestTimeout = absl::Seconds(20);
 
 std::string Line(std::uint64_t sequence) {
   return absl::StrCat("{\"sequence\":", sequence, ",\"text\":\"t", sequence, " \"}\n");
@@ -29,18 +30,18 @@
                       "\"prompt_tokens\":3,\"completion_tokens\":2}\n");
 }
 
-// One answer of the scripted engine.
+// One response of the scripted engine.
 struct Script {
   int status = 200;
-  // Pieces of the body, one write each.
+  // Body fragments; each is sent with a separate write.
   std::vector<std::string> pieces;
-  // Ends the connection after the pieces, without the end of the body.
-  bool breaks = false;
-  // The pieces after the first come only once this was notified.
+  // Closes the connection after the last piece without terminating the body.
+  bool disconnects = false;
+  // If set, the pieces after the first are sent only once this was notified.
   absl::Notification* after_first = nullptr;
 };
 
-// An engine that answers by a script: the first to /generate, the others to resumptions.
+// HTTP engine that replays scripted responses: the first to /generate, the others to resumptions.
 class ScriptedEngine {
  public:
   explicit ScriptedEngine(std::vector<Script> scripts) : scripts_(std::move(scripts)) {
@@ -86,9 +87,9 @@
                                          [script](std::size_t, httplib::DataSink& sink) {
                                            for (const std::string& piece : script.pieces) {
                                              sink.write(piece.data(), piece.size());
-                                             AwaitNext(script);
+                                             AwaitNextPiece(script);
                                            }
-                                           if (script.breaks) {
+                                           if (script.disconnects) {
                                              return false;
                                            }
                                            sink.done();
@@ -96,9 +97,9 @@
                                          });
   }
 
-  static void AwaitNext(const Script& script) {
+  static void AwaitNextPiece(const Script& script) {
     if (script.after_first != nullptr) {
-      script.after_first->WaitForNotificationWithTimeout(kLong);
+      script.after_first->WaitForNotificationWithTimeout(kTestTimeout);
     }
   }
 
@@ -125,7 +126,7 @@
 }
 
 Run Generate(const std::string& base_url, const GenerationRequest& request = MakeRequest(),
-             absl::Duration limit = kLong) {
+             absl::Duration limit = kTestTimeout) {
   HttpEngineClient client((HttpEngineClientOptions()));
   Run run;
   const ChunkSink sink = [&run](const GenerationChunk& chunk) {
@@ -137,7 +138,7 @@
   return run;
 }
 
-TEST_CASE("a stream is whole with its terminal marker") {
+TEST_CASE("a stream is complete once its terminal marker arrives") {
   ScriptedEngine engine({{200, {Line(1), Line(2), LastLine(3)}, false}});
   const Run run = Generate(engine.base_url());
   CHECK(run.result.outcome == GenerationOutcome::kComplete);
@@ -146,7 +147,7 @@
   CHECK(run.completion_tokens == 2);
 }
 
-TEST_CASE("lines may be cut anywhere") {
+TEST_CASE("lines may be split at any byte") {
   const std::string all = Line(1) + Line(2) + LastLine(3);
   std::vector<std::string> bytes;
   for (const char byte : all) {
@@ -156,30 +157,31 @@
   CHECK(Generate(engine.base_url()).text == "t1 t2 ");
 }
 
-TEST_CASE("all chunks that came are handed out before the wait for more is announced") {
-  absl::Notification waits;
-  ScriptedEngine engine({{200, {Line(1) + Line(2), LastLine(3)}, false, &waits}});
-  std::string seen;
+TEST_CASE("all received chunks are delivered before before_wait is called") {
+  absl::Notification wait_announced;
+  ScriptedEngine engine({{200, {Line(1) + Line(2), LastLine(3)}, false, &wait_announced}});
+  std::string events;
   GenerationRequest request = MakeRequest();
   request.before_wait = [&] {
-    seen += "w";
-    if (!waits.HasBeenNotified()) {
-      waits.Notify();
+    events += "w";
+    if (!wait_announced.HasBeenNotified()) {
+      wait_announced.Notify();
     }
   };
   HttpEngineClient client((HttpEngineClientOptions()));
-  const GenerationResult result = client.Generate(
-      engine.base_url(), request, SystemClock().Now() + kLong, [&](const GenerationChunk& chunk) {
-        CHECK(chunk.wait_is_announced);
-        seen += absl::StrCat(chunk.sequence);
-        return true;
-      });
+  const GenerationResult result =
+      client.Generate(engine.base_url(), request, SystemClock().Now() + kTestTimeout,
+                      [&](const GenerationChunk& chunk) {
+                        CHECK(chunk.wait_is_announced);
+                        events += absl::StrCat(chunk.sequence);
+                        return true;
+                      });
   CHECK(result.outcome == GenerationOutcome::kComplete);
-  CHECK(absl::StartsWith(seen, "12w"));
-  CHECK(absl::StrContains(seen, "w3"));
+  CHECK(absl::StartsWith(events, "12w"));
+  CHECK(absl::StrContains(events, "w3"));
 }
 
-TEST_CASE("a broken stream is resumed after the latest chunk") {
+TEST_CASE("a broken stream is resumed after the latest chunk received") {
   ScriptedEngine engine({{200, {Line(1), "{\"sequence\":2,\"te"}, true},
                          {200, {Line(2)}, true},
                          {200, {LastLine(3)}, false}});
@@ -189,14 +191,14 @@
   CHECK(engine.resumed_after == std::vector<std::string>{"1", "2"});
 }
 
-TEST_CASE("an end without the terminal marker is no end") {
+TEST_CASE("a body that ends without the terminal marker is resumed") {
   ScriptedEngine engine({{200, {Line(1)}, false}, {200, {Line(2), LastLine(3)}, false}});
   const Run run = Generate(engine.base_url());
   CHECK(run.result.outcome == GenerationOutcome::kComplete);
   CHECK(run.text == "t1 t2 ");
 }
 
-TEST_CASE("doubled chunks are dropped, and a gap is asked for again") {
+TEST_CASE("duplicate chunks are dropped and missing ones are requested again") {
   ScriptedEngine engine(
       {{200, {Line(1), Line(1), Line(3)}, false}, {200, {Line(1), Line(2), LastLine(3)}, false}});
   const Run run = Generate(engine.base_url());
@@ -205,19 +207,19 @@
   CHECK(engine.resumed_after == std::vector<std::string>{"1"});
 }
 
-TEST_CASE("a stream that the engine no longer knows may have run") {
+TEST_CASE("a request whose stream is unknown to the engine may have run") {
   ScriptedEngine engine({{200, {Line(1)}, true}});
   const Run run = Generate(engine.base_url());
   CHECK(run.result.outcome == GenerationOutcome::kMayHaveRun);
   CHECK(run.result.last_sequence == 1);
 }
 
-TEST_CASE("an answer lost before its first byte may have run") {
+TEST_CASE("a request whose answer is lost before its first byte may have run") {
   ScriptedEngine engine({{200, {}, true}});
   CHECK(Generate(engine.base_url()).result.outcome == GenerationOutcome::kMayHaveRun);
 }
 
-TEST_CASE("resumptions that bring nothing are bounded") {
+TEST_CASE("resumptions without progress are limited") {
   const Script nothing{200, {}, true};
   ScriptedEngine engine(std::vector<Script>(100, nothing));
   const Run run = Generate(engine.base_url());
@@ -226,7 +228,7 @@
         static_cast<std::size_t>(HttpEngineClientOptions().maximum_resumes));
 }
 
-TEST_CASE("refusals of the engine are not run") {
+TEST_CASE("requests that the engine refuses are not run") {
   const auto refused = [](int status, const char* error) {
     ScriptedEngine engine({{status, {absl::StrCat("{\"error\":\"", error, "\"}")}, false}});
     return Generate(engine.base_url()).result;
@@ -239,7 +241,7 @@
   CHECK(refused(500, "broken").outcome == GenerationOutcome::kMayHaveRun);
 }
 
-TEST_CASE("a refused connection is not run") {
+TEST_CASE("a request is not run if the connection is refused") {
   std::string base_url;
   {
     const ScriptedEngine engine({});
@@ -250,12 +252,12 @@
   CHECK(run.result.error == Error::kUnavailable);
 }
 
-// An engine that takes connections and answers nothing.
+// Engine that accepts requests and does not respond until it is destroyed.
 class SilentEngine {
  public:
   SilentEngine() {
     server_.Post(".*", [this](const httplib::Request&, httplib::Response&) {
-      release_.WaitForNotificationWithTimeout(kLong);
+      release_.WaitForNotificationWithTimeout(kTestTimeout);
     });
     port_ = server_.bind_to_any_port("127.0.0.1");
     thread_ = std::thread([this] { server_.listen_after_bind(); });
@@ -277,31 +279,31 @@
   std::thread thread_;
 };
 
-TEST_CASE("a silent engine is left at the deadline, and may have run") {
+TEST_CASE("a request to an unresponsive engine times out and may have run") {
   const SilentEngine engine;
   const Run run = Generate(engine.base_url(), MakeRequest(), absl::Milliseconds(100));
   CHECK(run.result.outcome == GenerationOutcome::kMayHaveRun);
   CHECK(run.result.error == Error::kTimeout);
 }
 
-TEST_CASE("a caller that goes away while the engine is silent ends the wait") {
+TEST_CASE("a cancelled request stops waiting for an unresponsive engine") {
   const SilentEngine engine;
   GenerationRequest request = MakeRequest();
   request.cancelled = [] { return true; };
   CHECK(Generate(engine.base_url(), request).result.outcome == GenerationOutcome::kCancelled);
 }
 
-TEST_CASE("a sink that takes no more cancels at the engine") {
+TEST_CASE("a sink that returns false cancels the request at the engine") {
   ScriptedEngine engine({{200, {Line(1), Line(2), LastLine(3)}, false}});
   HttpEngineClient client((HttpEngineClientOptions()));
   const ChunkSink sink = [](const GenerationChunk&) { return false; };
   const GenerationResult result =
-      client.Generate(engine.base_url(), MakeRequest(), SystemClock().Now() + kLong, sink);
+      client.Generate(engine.base_url(), MakeRequest(), SystemClock().Now() + kTestTimeout, sink);
   CHECK(result.outcome == GenerationOutcome::kCancelled);
-  CHECK(engine.cancelled.WaitForNotificationWithTimeout(kLong));
+  CHECK(engine.cancelled.WaitForNotificationWithTimeout(kTestTimeout));
 }
 
-TEST_CASE("orders are answered with the status or the reason") {
+TEST_CASE("orders return the engine's status or an error") {
   httplib::Server server;
   std::string load_body;
   server.Get("/engines/w1/status", [](const httplib::Request&, httplib::Response& answer) {
@@ -324,17 +326,17 @@
   std::thread thread([&server] { server.listen_after_bind(); });
   const std::string base_url = absl::StrCat("http://127.0.0.1:", port, "/engines/w1");
   HttpEngineClient client((HttpEngineClientOptions()));
-  const Result<EngineStatus> status = client.Status(base_url, kLong);
+  const Result<EngineStatus> status = client.Status(base_url, kTestTimeout);
   REQUIRE(status.ok());
   CHECK(status->incarnation == WorkerIncarnation(4));
   CHECK(status->replicas.at(0).state == ReplicaState::kDraining);
   CHECK(status->cached.at(0).tier == CacheTier::kDisk);
-  CHECK(client.Load(base_url, LoadOrder(), kLong).error() == Error::kOutOfMemory);
+  CHECK(client.Load(base_url, LoadOrder(), kTestTimeout).error() == Error::kOutOfMemory);
   CHECK(load_body.find("\"fence\"") != std::string::npos);
-  CHECK(client.Fence(base_url, WorkerIncarnation(), KeeperEpoch(1), kLong).error() ==
+  CHECK(client.Fence(base_url, WorkerIncarnation(), KeeperEpoch(1), kTestTimeout).error() ==
         Error::kFenced);
-  CHECK(client.Unload(base_url, UnloadOrder(), kLong).error() == Error::kMalformed);
-  CHECK(client.Status("http://not-an-address", kLong).error() == Error::kUnavailable);
+  CHECK(client.Unload(base_url, UnloadOrder(), kTestTimeout).error() == Error::kMalformed);
+  CHECK(client.Status("http://not-an-address", kTestTimeout).error() == Error::kUnavailable);
   server.stop();
   thread.join();
 }
