--- a/include/hingespan/operator/command_line.h
+++ b/include/hingespan/operator/command_line.h
@@ -1,4 +1,4 @@
-// The operators' command as a whole: arguments to an exit code.
+// Entry point of the `hingespan` command for operators.
 #ifndef HINGESPAN_OPERATOR_COMMAND_LINE_H_
 #define HINGESPAN_OPERATOR_COMMAND_LINE_H_
 
@@ -6,7 +6,7 @@
 
 namespace hingespan {
 
-// The value is an ExitCode.
+// Parses the arguments, runs the command and returns its ExitCode.
 int RunOperatorCommand(int argc, const char* const* argv, const Terminal& terminal);
 
 }  // namespace hingespan
--- a/include/hingespan/operator/completion.h
+++ b/include/hingespan/operator/completion.h
@@ -1,4 +1,4 @@
-// Shell completion of the operators' command, out of its own description.
+// Shell completion of the `hingespan` command, generated from its CLI11 description.
 #ifndef HINGESPAN_OPERATOR_COMPLETION_H_
 #define HINGESPAN_OPERATOR_COMPLETION_H_
 
@@ -10,7 +10,7 @@
 
 namespace hingespan {
 
-// A bash script that completes commands and flags, and file names elsewhere.
+// Returns a bash script that completes commands and flags, and file names for other arguments.
 std::string BashCompletion(const CLI::App& app);
 
 }  // namespace hingespan
--- a/include/hingespan/operator/csv.h
+++ b/include/hingespan/operator/csv.h
@@ -1,4 +1,4 @@
-// CSV of RFC 4180 with the place of each cell.
+// CSV reader and writer (RFC 4180). The reader records the position of each cell.
 #ifndef HINGESPAN_OPERATOR_CSV_H_
 #define HINGESPAN_OPERATOR_CSV_H_
 
@@ -16,14 +16,14 @@
 };
 
 struct CsvDocument {
-  // Lines without any text are left out.
+  // Blank lines are skipped.
   std::vector<std::vector<CsvCell>> lines;
   Findings findings;
 };
 
 CsvDocument ParseCsv(std::string_view text, const std::string& file);
 
-// One line with its line break; cells are quoted where needed.
+// Returns one line with its line break. Cells are quoted where needed.
 std::string EncodeCsvLine(const std::vector<std::string>& cells);
 
 }  // namespace hingespan
--- a/include/hingespan/operator/edit_report.h
+++ b/include/hingespan/operator/edit_report.h
@@ -1,4 +1,4 @@
-// What became of a batch of edits, for operators: all rows together.
+// Reports the outcomes of a batch of edits to the operator, all rows together.
 #ifndef HINGESPAN_OPERATOR_EDIT_REPORT_H_
 #define HINGESPAN_OPERATOR_EDIT_REPORT_H_
 
@@ -15,17 +15,19 @@
 
 struct EditReport {
   RowEdit edit;
-  // The row as the operator saw it.
+  // The row as the operator saw it before the edit.
   std::optional<ModelRow> before;
   EditOutcome outcome;
 };
 
-// kUnreachable for errors of the way there, else kFailure.
+// Returns kUnreachable for transport errors and rate limiting, otherwise kFailure.
 ExitCode ExitCodeOfError(std::error_code error);
-// kConflict if any row met one, else the first other failure's, else kOk.
+// Returns kConflict if any edit conflicted, otherwise the code of the first failure, or kOk if
+// there is none.
 ExitCode ExitCodeOfReports(const std::vector<EditReport>& reports);
 
-// A line a row, and a table of fields for each conflict: was, is now and by whom, wanted.
+// Returns one line per row, followed for conflicts by a table of the fields: the value that the
+// operator saw, the present value and the wanted value. The row's line names the other editor.
 std::string FormatEditReports(const std::vector<EditReport>& reports);
 nlohmann::json EditReportsToJson(const std::vector<EditReport>& reports);
 
--- a/include/hingespan/operator/exit_code.h
+++ b/include/hingespan/operator/exit_code.h
@@ -1,4 +1,4 @@
-// Exit codes of the operators' command.
+// Exit codes of the `hingespan` command.
 #ifndef HINGESPAN_OPERATOR_EXIT_CODE_H_
 #define HINGESPAN_OPERATOR_EXIT_CODE_H_
 
@@ -6,11 +6,11 @@
 
 enum class ExitCode {
   kOk = 0,
-  // The other side refused, or failed.
+  // The platform or the node refused the request, or failed.
   kFailure = 1,
-  // Wrong arguments, or findings in a file or in values.
+  // The arguments are invalid, or a file or a value has findings.
   kUsage = 2,
-  // Another operator's edit came first; nothing of the conflicting rows was written.
+  // Another operator's edit came first; the conflicting rows were not written.
   kConflict = 3,
   // The platform or the node can't be reached, or did not answer in time.
   kUnreachable = 4,
--- a/include/hingespan/operator/node_commands.h
+++ b/include/hingespan/operator/node_commands.h
@@ -1,4 +1,4 @@
-// The commands that ask a node: status, explain, drain.
+// The commands that call a node's admin interface: status, explain and drain.
 #ifndef HINGESPAN_OPERATOR_NODE_COMMANDS_H_
 #define HINGESPAN_OPERATOR_NODE_COMMANDS_H_
 
@@ -17,18 +17,18 @@
 // Thread-compatible.
 class NodeCommands {
  public:
-  // `client` must outlive this; it sends the operator's key.
+  // `client` must outlive this object; it sends the operator's key.
   NodeCommands(JsonHttpClient* client, absl::Duration timeout, Terminal terminal,
                OutputFormat format);
 
   ExitCode Status();
   ExitCode Explain(const std::string& model);
-  // No new work goes to the target from now on.
+  // Tells the node to send no new work to the target.
   ExitCode Drain(DrainTarget target, const std::string& name);
 
  private:
   ExitCode Call(const JsonHttpRequest& request);
-  ExitCode Refused(const JsonHttpAnswer& answer);
+  ExitCode ReportRefusal(const JsonHttpAnswer& answer);
 
   JsonHttpClient* const client_;
   const absl::Duration timeout_;
--- a/include/hingespan/operator/output.h
+++ b/include/hingespan/operator/output.h
@@ -1,4 +1,4 @@
-// How the operators' command prints: text tables and JSON.
+// Output of the `hingespan` command: text tables and JSON.
 #ifndef HINGESPAN_OPERATOR_OUTPUT_H_
 #define HINGESPAN_OPERATOR_OUTPUT_H_
 
@@ -14,24 +14,25 @@
 
 enum class OutputFormat { kTable, kJson };
 
-// The streams of a command. All must outlive it.
+// Input and output streams of a command. All must outlive it.
 struct Terminal {
   std::istream* in = nullptr;
   std::ostream* out = nullptr;
   std::ostream* err = nullptr;
 };
 
-// Columns as wide as their widest cell, two blanks apart; empty cells as "-".
+// Pads each column to its widest cell, with two spaces between columns. Empty cells are printed as
+// "-".
 std::string FormatTextTable(const std::vector<std::string>& header,
                             const std::vector<std::vector<std::string>>& lines);
 
-// Any JSON as text: members as "name: value", lists of objects as tables.
+// Formats any JSON value as text: members as "name: value", lists of objects as tables.
 std::string FormatJsonAsText(const nlohmann::json& json);
 
-// The row with its revision.
+// Returns the row with its revision, or null if the row is absent.
 nlohmann::json VersionedRowToJson(const VersionedRow& versioned);
 
-// Indented, with a line break at the end.
+// Returns indented JSON that ends with a line break.
 std::string FormatJson(const nlohmann::json& json);
 
 }  // namespace hingespan
--- a/include/hingespan/operator/request_explanation.h
+++ b/include/hingespan/operator/request_explanation.h
@@ -1,4 +1,4 @@
-// Finds in the log lines of any number of nodes what became of one request, and why.
+// Finds the outcome of one request and its cause in the logs of any number of nodes.
 #ifndef HINGESPAN_OPERATOR_REQUEST_EXPLANATION_H_
 #define HINGESPAN_OPERATOR_REQUEST_EXPLANATION_H_
 
@@ -7,18 +7,19 @@
 
 namespace hingespan {
 
-// What the logs tell of a request.
+// The outcome of a request according to the logs.
 struct RequestExplanation {
-  // False: no line names the request.
+  // False if no line names the request.
   bool found = false;
-  // One sentence: the cause as the lines show it.
+  // One sentence that states the outcome and its cause.
   std::string cause;
-  // The lines that the cause rests on, in the order of time: those of the request, then those of
-  // its workers and of its model's replicas while it was there.
+  // The log lines that show the cause: first those of the request, then those of its workers, its
+  // model's replicas, the placement lease and the store around the time of the request. Each group
+  // is in order of time.
   std::vector<std::string> lines;
 };
 
-// `log_lines` are JSON lines as gateways write them; others are passed over.
+// `log_lines` are JSON lines as gateways write them; other lines are ignored.
 RequestExplanation ExplainRequest(const std::vector<std::string>& log_lines,
                                   const std::string& request_id);
 
--- a/include/hingespan/operator/row_fields.h
+++ b/include/hingespan/operator/row_fields.h
@@ -1,4 +1,4 @@
-// The fields of a table row as operators write them: names, limits, text form, checks.
+// Fields of a table row in the form that operators edit: names, limits, text form and checks.
 #ifndef HINGESPAN_OPERATOR_ROW_FIELDS_H_
 #define HINGESPAN_OPERATOR_ROW_FIELDS_H_
 
@@ -14,21 +14,21 @@
 
 namespace hingespan {
 
-// A field and the text to set it to.
+// Assigns a value, in text form, to a field.
 struct FieldAssignment {
-  // A name out of RowFieldNames, or "weights.ZONE".
+  // One of RowFieldNames(), or "weights.ZONE".
   std::string field;
   std::string text;
   Place place;
 };
 
-// A row and the revision at which the platform holds it; 0: absent.
+// A row and the revision at which the platform holds it. Revision 0 means that the row is absent.
 struct VersionedRow {
   TableRevision revision;
   std::optional<ModelRow> row;
 };
 
-// A field that differs; the empty text stands for an absent row or value.
+// A field that differs between two rows. An absent row or value is the empty text.
 struct FieldDifference {
   std::string field;
   std::string before;
@@ -39,27 +39,30 @@
 
 using RowsByName = std::map<ModelName, VersionedRow>;
 
-// Fields that operators set, in the order of sheets: all but name, edit and editor.
+// Returns the fields that operators can set, in the order of the sheet's columns. The fields name,
+// edit and editor are not among them.
 const std::vector<std::string>& RowFieldNames();
-// "integer 0..10000" and so on.
+// Returns the type and limits of a field for error messages and help, such as "integer 0..10000".
 std::string RowFieldType(std::string_view field);
-// What the field means, for help.
+// Returns the description of a field for help texts.
 std::string_view RowFieldMeaning(std::string_view field);
-// Text of a value; weights as "z1=80 z2=20".
+// Returns the value of a field as text. Weights are printed as "z1=80 z2=20".
 std::string PrintRowField(const ModelRow& row, std::string_view field);
 
-// Carries out all assignments that are right, and appends a finding for each other one.
+// Applies all valid assignments, and appends a finding for each invalid one.
 void AssignRowFields(const std::vector<FieldAssignment>& assignments, ModelRow* row,
                      Findings* findings);
 
-// What does not fit together within a row. `place` is where the row stands.
+// Checks a row on its own: its name, required fields and fields that contradict each other. `place`
+// is the row's position.
 void CheckRow(const ModelRow& row, const Place& place, Findings* findings);
-// Whether the row that `row` is based on exists and may be a base. `base` may be null.
+// Appends a finding unless the base of `row` exists and may be a base. `base` is null if there is
+// no such row.
 void CheckBase(const ModelRow& row, const ModelRow* base, const Place& place, Findings* findings);
-// Each row's base within the whole table.
+// Applies CheckBase to each row of the table.
 void CheckBases(const RowsByName& rows, const Place& place, Findings* findings);
 
-// Differences in what operators set; the edit and its author are left out.
+// Returns the differences in the fields that operators set. The edit id and the editor are ignored.
 std::vector<FieldDifference> DiffRows(const std::optional<ModelRow>& before,
                                       const std::optional<ModelRow>& after);
 
--- a/include/hingespan/operator/settings_command.h
+++ b/include/hingespan/operator/settings_command.h
@@ -1,4 +1,4 @@
-// The command `check-settings`.
+// The `check-settings` command.
 #ifndef HINGESPAN_OPERATOR_SETTINGS_COMMAND_H_
 #define HINGESPAN_OPERATOR_SETTINGS_COMMAND_H_
 
@@ -10,11 +10,12 @@
 
 namespace hingespan {
 
-// Checks a node's settings file with flags "key=value"; prints every finding.
+// Checks a node's settings file together with the overrides in `flags` ("key=value" each), and
+// prints every finding.
 ExitCode CheckSettingsFile(const std::string& file, const std::vector<std::string>& flags,
                            const Terminal& terminal);
 
-// Every setting as a Markdown table, for the operators' page.
+// Returns all settings as a Markdown table, for the operators' documentation.
 std::string SettingsAsMarkdown();
 
 }  // namespace hingespan
--- a/include/hingespan/operator/sheet.h
+++ b/include/hingespan/operator/sheet.h
@@ -1,9 +1,9 @@
-// The table as a sheet that operators edit and keep in files: TOML or CSV.
+// A sheet is the table as a TOML or CSV file that operators edit.
 //
-// TOML: a table a row, named like it: `[NAME]`, then `field = value`, with `weights = {ZONE = N}`.
-// CSV (RFC 4180): a header line with `name` and fields, then a line a row, weights as "z1=80
-// z2=20". A field left out has its default. `revision` is optional: the one at which the row was
-// read.
+// TOML: each row is a table with the row's name, `[NAME]`, followed by `field = value` lines.
+// Weights are written as `weights = {ZONE = N}`. CSV (RFC 4180): the header line has `name` and the
+// fields, then each line is a row. Weights are written as "z1=80 z2=20". An omitted field has its
+// default. The optional field `revision` is the revision at which the row was read.
 #ifndef HINGESPAN_OPERATOR_SHEET_H_
 #define HINGESPAN_OPERATOR_SHEET_H_
 
@@ -22,7 +22,7 @@
 struct SheetRow {
   ModelRow row;
   Place place;
-  // Not in the sheet: empty.
+  // Empty if the sheet does not name a revision for the row.
   std::optional<TableRevision> revision;
 };
 
@@ -31,13 +31,14 @@
   Findings findings;
 };
 
-// kCsv for names that end in ".csv", else kToml.
+// Returns kCsv for names that end in ".csv", otherwise kToml.
 SheetFormat SheetFormatOfFile(std::string_view file);
 
-// `with_revisions`: adds each row's revision, so that an import notices edits made meanwhile.
+// With `with_revisions`, each row has its revision, so that an import detects concurrent edits.
 std::string EncodeSheet(const RowsByName& rows, SheetFormat format, bool with_revisions);
 
-// All rows that can be read, and all findings; rows are checked one by one, not against others.
+// Returns all rows that can be read, and all findings. Each row is checked on its own, not against
+// other rows.
 Sheet DecodeSheet(std::string_view text, const std::string& file, SheetFormat format);
 
 }  // namespace hingespan
--- a/include/hingespan/operator/sheet_edit.h
+++ b/include/hingespan/operator/sheet_edit.h
@@ -1,4 +1,4 @@
-// The edits that turn one state of the table into what a sheet says.
+// Computes the edits that bring the table to the state of a sheet.
 #ifndef HINGESPAN_OPERATOR_SHEET_EDIT_H_
 #define HINGESPAN_OPERATOR_SHEET_EDIT_H_
 
@@ -11,18 +11,19 @@
 
 namespace hingespan {
 
-// Rows of the base state that the sheet does not name.
+// Treatment of rows that are in the base state but not in the sheet.
 enum class MissingRows { kKeep, kDelete, kFinding };
 
 struct SheetPlan {
-  // Bases come before what needs them; deletions come last, the other way round.
+  // A base is written before the rows that depend on it. Deletions come last, in reverse order.
   std::vector<RowEdit> edits;
   Findings findings;
 };
 
-// `base`: the rows as the sheet's author saw them. A row that is like its base is not edited; one
-// with a revision in the sheet is edited at that revision. `current`: the table now, for checks of
-// how rows depend on each other.
+// `base` holds the rows as the sheet's author saw them. A row that equals its base state is not
+// edited. A row whose revision is in the sheet is edited at that revision, any other row at the
+// revision in `base`. `current` is the present table; references between rows are checked against
+// it.
 SheetPlan PlanSheet(const Sheet& sheet, const RowsByName& base, const RowsByName& current,
                     MissingRows missing);
 
--- a/include/hingespan/operator/table_editor.h
+++ b/include/hingespan/operator/table_editor.h
@@ -1,5 +1,5 @@
-// Operators' edits of the table: compare-and-set on a row's revision, with bounded retries that
-// recognise an edit whose answer was lost.
+// Reads and edits the table for operators. An edit is a compare-and-set on the row's revision, with
+// bounded retries that recognise an earlier attempt whose answer was lost.
 #ifndef HINGESPAN_OPERATOR_TABLE_EDITOR_H_
 #define HINGESPAN_OPERATOR_TABLE_EDITOR_H_
 
@@ -16,84 +16,84 @@
 namespace hingespan {
 
 struct TableEditorOptions {
-  // Who edits; kept in the row.
+  // Name of the operator; stored in the row.
   std::string editor;
   absl::Duration call_timeout = absl::Seconds(5);
-  // Calls for one edit or read at most.
+  // Maximum number of attempts for an edit, or for each call that a read makes.
   int maximum_attempts = 5;
-  // First wait between two attempts; doubles each time.
-  absl::Duration first_pause = absl::Milliseconds(200);
-  // Replaced by tests. `pause` waits for so long; `new_edit` gives an id that no other edit has;
-  // `wall_time` is kept with the id.
-  std::function<void(absl::Duration)> pause;
-  std::function<EditId()> new_edit;
+  // Delay before the first retry; doubles with each further retry.
+  absl::Duration initial_backoff = absl::Milliseconds(200);
+  // Injected by tests. `sleep` blocks for the given duration, `make_edit_id` returns a unique edit
+  // id, and `wall_time` gives the time that is stored with the id.
+  std::function<void(absl::Duration)> sleep;
+  std::function<EditId()> make_edit_id;
   std::function<absl::Time()> wall_time;
-  // Tests only: a row is written whatever its revision is by then.
+  // Tests only: write the row without a check of its revision.
   bool disable_compare_and_set_for_test = false;
 };
 
-// What a row shall be, if it still is at `expected`.
+// A change of one row that is applied only if the row still has revision `expected`.
 struct RowEdit {
   ModelName name;
-  // 0: the row must be absent.
+  // Revision 0 means that the row must be absent.
   TableRevision expected;
-  // Empty: the row is deleted.
+  // The new value. If empty, the row is deleted.
   std::optional<ModelRow> wanted;
 };
 
 enum class EditStatus {
   kApplied,
-  // Applied, and changed again by somebody else since: `present` is theirs.
+  // The edit was applied, but somebody else has changed the row since. `present` holds their value.
   kAppliedThenChanged,
-  // The row is at another revision than expected; nothing was written. See `present`.
+  // The row has another revision than expected; nothing was written. `present` holds the row.
   kConflict,
-  // See `error`; nothing was written.
+  // Nothing was written. `error` holds the reason.
   kFailed,
-  // See `error`; it may have been written.
+  // The edit may have been written. `error` holds the last error.
   kUnknown,
 };
 
 struct EditOutcome {
   EditStatus status = EditStatus::kFailed;
-  // Of the row, when applied.
+  // Revision that the edit created, if it was applied.
   TableRevision revision;
   std::error_code error;
-  // What is there now; of kConflict and kAppliedThenChanged.
+  // The present row, for kConflict and kAppliedThenChanged.
   VersionedRow present;
 };
 
-// One value of a row's past; no row: it was deleted.
+// One revision in the history of a row. `row` is empty if the row was deleted at this revision.
 struct HistoryEntry {
   TableRevision revision;
   std::optional<ModelRow> row;
 };
 
-// Thread-compatible; blocks.
+// Thread-compatible. All calls block.
 class TableEditor {
  public:
-  // `service` must outlive this.
+  // `service` must outlive this object.
   TableEditor(TableService* service, TableEditorOptions options);
 
-  // An absent row has revision 0. kMalformed when the value is no row.
+  // An absent row has revision 0. Returns kMalformed if the value can't be decoded as a row.
   // Spec action: ReadRow.
   Result<VersionedRow> ReadRow(const ModelName& name);
-  // All rows. kMalformed when a value is no row.
+  // Returns all rows, or kMalformed if a value can't be decoded as a row.
   Result<RowsByName> ReadRows();
-  // Newest first.
+  // Returns up to `limit` revisions of the row, newest first.
   Result<std::vector<HistoryEntry>> ReadHistory(const ModelName& name, int limit);
-  // One transaction, which also inserts the edit's id, under a key that must be absent: at most one
-  // of its attempts takes effect, whatever others do to the row meanwhile.
+  // Sends the edit as one transaction that also inserts the edit's id under a key that must be
+  // absent. Therefore at most one attempt takes effect, even if others change the row in between.
   // Spec actions: EditRow, SendEdit, GiveUpCall.
   EditOutcome Apply(const RowEdit& edit);
 
  private:
-  // Waits before attempt `attempt`, which counts from 0.
-  void PauseBefore(int attempt);
+  // Waits for the backoff before an attempt. Attempts count from 0; the first one does not wait.
+  void BackOffBefore(int attempt);
   Transaction ToTransaction(const RowEdit& edit, const EditId& id) const;
   // Spec action: ResolveAnswer.
   EditOutcome ResolveConflict(const RowEdit& edit, const EditId& id, bool answer_was_lost,
                               const TransactionResult& result) const;
-  // Repeats a read while errors may pass.
+  // Retries a read after transient errors.
   template <typename T, typename Call>
   Result<T> Retry(const Call& call);
 
@@ -101,7 +101,7 @@
   TableEditorOptions options_;
 };
 
-// A random id of 128 bits.
+// Returns a random 128-bit id.
 EditId NewEditId();
 
 }  // namespace hingespan
--- a/src/operator/command_line.cc
+++ b/src/operator/command_line.cc
@@ -65,7 +65,7 @@
 own. Only rows that you changed are written. Conflicts are reported together, row by row, and the
 sheet is kept. scripts/table-edit does the same and opens $VISUAL or $EDITOR.)";
 
-// Values of the flags of all commands.
+// Values of the flags and arguments of all commands.
 struct Flags {
   std::string platform;
   std::string node;
@@ -341,8 +341,8 @@
         *terminal_.err << "can't read " << file << "\n";
         return ExitCode::kUsage;
       }
-      std::vector<std::string> of_file = absl::StrSplit(*text, '\n', absl::SkipEmpty());
-      lines.insert(lines.end(), of_file.begin(), of_file.end());
+      std::vector<std::string> file_lines = absl::StrSplit(*text, '\n', absl::SkipEmpty());
+      lines.insert(lines.end(), file_lines.begin(), file_lines.end());
     }
     const RequestExplanation explanation = ExplainRequest(lines, flags_.name);
     *terminal_.out << flags_.name << ": " << explanation.cause << "\n";
--- a/src/operator/completion.cc
+++ b/src/operator/completion.cc
@@ -9,7 +9,7 @@
 namespace hingespan {
 namespace {
 
-// A command by its words, e.g. "table set", and what may follow it.
+// A command path, such as "table set", and the words that may follow it.
 struct CompletionEntry {
   std::string path;
   std::string words;
@@ -41,7 +41,7 @@
   }
 }
 
-// 'table'|'table list'|...
+// Returns the case pattern of all commands: 'table'|'table list'|...
 std::string PathPattern(const std::vector<CompletionEntry>& entries) {
   std::vector<std::string> quoted;
   for (const CompletionEntry& entry : entries) {
--- a/src/operator/csv.cc
+++ b/src/operator/csv.cc
@@ -36,14 +36,14 @@
     std::vector<CsvCell> cells;
     cells.push_back(ParseCell());
     while (!AtLineEnd()) {
-      Take();  // The comma.
+      Take();  // Comma.
       cells.push_back(ParseCell());
     }
     while (!AtEnd() && Peek() == '\r') {
       Take();
     }
     if (!AtEnd()) {
-      Take();  // The line break.
+      Take();  // Line feed.
     }
     const bool blank = cells.size() == 1 && cells[0].text.empty();
     if (!blank) {
@@ -75,7 +75,7 @@
         return text;
       }
     }
-    document_.findings.push_back({place, "syntax", "a quote is not closed", "CSV of RFC 4180"});
+    document_.findings.push_back({place, "syntax", "unterminated quoted cell", "CSV of RFC 4180"});
     return text;
   }
 
--- a/src/operator/edit_report.cc
+++ b/src/operator/edit_report.cc
@@ -27,17 +27,17 @@
   return "unknown";
 }
 
-std::string FieldOf(const std::optional<ModelRow>& row, const std::string& field) {
+std::string FieldText(const std::optional<ModelRow>& row, const std::string& field) {
   return row.has_value() ? PrintRowField(*row, field) : "(no row)";
 }
 
-// Fields in which the three values are not all alike.
+// Returns the fields in which the seen, present and wanted values are not all equal.
 std::vector<std::string> FieldsInConflict(const EditReport& report) {
   std::vector<std::string> fields;
   for (const std::string& field : RowFieldNames()) {
-    const std::set<std::string> values = {FieldOf(report.before, field),
-                                          FieldOf(report.outcome.present.row, field),
-                                          FieldOf(report.edit.wanted, field)};
+    const std::set<std::string> values = {FieldText(report.before, field),
+                                          FieldText(report.outcome.present.row, field),
+                                          FieldText(report.edit.wanted, field)};
     if (values.size() > 1) {
       fields.push_back(field);
     }
@@ -45,7 +45,7 @@
   return fields;
 }
 
-std::string WhoChanged(const VersionedRow& present) {
+std::string DescribeLastChange(const VersionedRow& present) {
   if (!present.row.has_value()) {
     return "deleted";
   }
@@ -57,9 +57,9 @@
 std::string FormatConflict(const EditReport& report) {
   std::vector<std::vector<std::string>> lines;
   for (const std::string& field : FieldsInConflict(report)) {
-    lines.push_back({field, FieldOf(report.before, field),
-                     FieldOf(report.outcome.present.row, field),
-                     FieldOf(report.edit.wanted, field)});
+    lines.push_back({field, FieldText(report.before, field),
+                     FieldText(report.outcome.present.row, field),
+                     FieldText(report.edit.wanted, field)});
   }
   return FormatTextTable({"FIELD", "YOU SAW", "IS NOW", "YOU WANTED"}, lines);
 }
@@ -73,16 +73,16 @@
                  ? absl::StrCat(name, ": applied at revision ", outcome.revision.value(), "\n")
                  : absl::StrCat(name, ": deleted\n");
     case EditStatus::kAppliedThenChanged:
-      return absl::StrCat(name, ": applied, and changed again since (", WhoChanged(outcome.present),
-                          ")\n", FormatConflict(report));
+      return absl::StrCat(name, ": applied, and changed again since (",
+                          DescribeLastChange(outcome.present), ")\n", FormatConflict(report));
     case EditStatus::kConflict:
-      return absl::StrCat(name, ": conflict, not written; now ", WhoChanged(outcome.present), "\n",
-                          FormatConflict(report));
+      return absl::StrCat(name, ": conflict, not written; now ",
+                          DescribeLastChange(outcome.present), "\n", FormatConflict(report));
     case EditStatus::kFailed:
       return absl::StrCat(name, ": not written: ", outcome.error.message(), "\n");
     case EditStatus::kUnknown:
       return absl::StrCat(name, ": may have been written: ", outcome.error.message(),
-                          "; look at the row before another try\n");
+                          "; check the row before you retry\n");
   }
   return "";
 }
@@ -91,9 +91,9 @@
   Json fields = Json::array();
   for (const std::string& field : FieldsInConflict(report)) {
     fields.push_back(Json{{"field", field},
-                          {"seen", FieldOf(report.before, field)},
-                          {"now", FieldOf(report.outcome.present.row, field)},
-                          {"wanted", FieldOf(report.edit.wanted, field)}});
+                          {"seen", FieldText(report.before, field)},
+                          {"now", FieldText(report.outcome.present.row, field)},
+                          {"wanted", FieldText(report.edit.wanted, field)}});
   }
   return fields;
 }
@@ -134,9 +134,9 @@
 }  // namespace
 
 ExitCode ExitCodeOfError(std::error_code error) {
-  const bool on_the_way = error == Error::kUnavailable || error == Error::kTimeout ||
-                          error == Error::kAnswerLost || error == Error::kRateLimited;
-  return on_the_way ? ExitCode::kUnreachable : ExitCode::kFailure;
+  const bool is_transport_error = error == Error::kUnavailable || error == Error::kTimeout ||
+                                  error == Error::kAnswerLost || error == Error::kRateLimited;
+  return is_transport_error ? ExitCode::kUnreachable : ExitCode::kFailure;
 }
 
 ExitCode ExitCodeOfReports(const std::vector<EditReport>& reports) {
--- a/src/operator/node_commands.cc
+++ b/src/operator/node_commands.cc
@@ -39,11 +39,11 @@
 ExitCode NodeCommands::Call(const JsonHttpRequest& request) {
   const Result<JsonHttpAnswer> answer = client_->Send(request, timeout_);
   if (!answer.ok()) {
-    *terminal_.err << "can't ask the node: " << answer.error().message() << "\n";
+    *terminal_.err << "the call to the node failed: " << answer.error().message() << "\n";
     return ExitCodeOfError(answer.error());
   }
   if (ErrorOfHttpStatus(answer->status) != Error::kOk) {
-    return Refused(*answer);
+    return ReportRefusal(*answer);
   }
   const Json json = Json::parse(answer->body, nullptr, /*allow_exceptions=*/false);
   if (json.is_discarded()) {
@@ -54,7 +54,7 @@
   return ExitCode::kOk;
 }
 
-ExitCode NodeCommands::Refused(const JsonHttpAnswer& answer) {
+ExitCode NodeCommands::ReportRefusal(const JsonHttpAnswer& answer) {
   *terminal_.err << "the node refused with status " << answer.status << ": " << answer.body << "\n";
   return ExitCodeOfError(ErrorOfHttpStatus(answer.status));
 }
--- a/src/operator/output.cc
+++ b/src/operator/output.cc
@@ -46,7 +46,7 @@
   return json.is_string() ? json.get<std::string>() : json.dump();
 }
 
-// Lists and objects within a cell are counted: whole ones are for JSON output.
+// A list or object within a cell is shown as its number of entries; JSON output has it in full.
 std::string CellOfJson(const Json& json) {
   return json.is_structured() ? absl::StrCat(json.size(), " entries") : ScalarText(json);
 }
--- a/src/operator/request_explanation.cc
+++ b/src/operator/request_explanation.cc
@@ -14,39 +14,40 @@
 
 using Json = nlohmann::json;
 
-// What happened to a worker or a model this long before a request came may still concern it.
-constexpr absl::Duration kBefore = absl::Seconds(6);
-// A first event later than this after the request was sent is put down to the worker.
+// Events of a worker or a model this long before a request's arrival may still affect it.
+constexpr absl::Duration kContextBeforeArrival = absl::Seconds(6);
+// If the first event comes this long after the request was sent, the worker is the cause of the
+// delay.
 constexpr int kSlowWorkerMs = 1000;
-// A request sent later than this after its arrival has waited.
-constexpr int kWaitedMs = 500;
+// If a request is sent this long after its arrival, the wait is the cause of the delay.
+constexpr int kLateDispatchMs = 500;
 
-struct Line {
+struct LogLine {
   absl::Time time;
   Json json;
   std::string text;
 };
 
-std::string Field(const Line& line, const char* name) {
+std::string Field(const LogLine& line, const char* name) {
   return line.json.contains(name) && line.json[name].is_string()
              ? line.json[name].get<std::string>()
              : std::string();
 }
 
-int Number(const Line& line, const char* name) {
+int Number(const LogLine& line, const char* name) {
   int number = 0;
   return absl::SimpleAtoi(Field(line, name), &number) ? number : 0;
 }
 
-std::vector<Line> ReadLines(const std::vector<std::string>& texts) {
-  std::vector<Line> lines;
+std::vector<LogLine> ParseLogLines(const std::vector<std::string>& texts) {
+  std::vector<LogLine> lines;
   for (const std::string& text : texts) {
-    // A collector may have put its own words before the object.
+    // A log collector may have added a prefix before the JSON object.
     const std::size_t begin = text.find('{');
     if (begin == std::string::npos) {
       continue;
     }
-    Line line{absl::InfinitePast(), Json::parse(text.substr(begin), nullptr, false), text};
+    LogLine line{absl::InfinitePast(), Json::parse(text.substr(begin), nullptr, false), text};
     if (!line.json.is_object() || Field(line, "event").empty()) {
       continue;
     }
@@ -54,27 +55,29 @@
     absl::ParseTime(absl::RFC3339_full, Field(line, "time"), &line.time, &error);
     lines.push_back(std::move(line));
   }
-  std::stable_sort(lines.begin(), lines.end(),
-                   [](const Line& left, const Line& right) { return left.time < right.time; });
+  std::stable_sort(lines.begin(), lines.end(), [](const LogLine& left, const LogLine& right) {
+    return left.time < right.time;
+  });
   return lines;
 }
 
-// What the lines of one request say.
+// Log lines and properties of one request.
 struct RequestLines {
-  std::vector<const Line*> attempts;
-  const Line* last = nullptr;
-  // It was refused before it had a route; then there is no `last`.
-  const Line* refused = nullptr;
+  std::vector<const LogLine*> attempts;
+  // The line logged at the end of the request; null if it is not in the logs.
+  const LogLine* last = nullptr;
+  // Set if the request was refused before it had a route. Then `last` is null.
+  const LogLine* refused = nullptr;
   std::set<std::string> workers;
   std::string model;
   std::string adapter;
-  absl::Time began;
-  absl::Time ended;
+  absl::Time arrival_time;
+  absl::Time end_time;
 };
 
-RequestLines Collect(const std::vector<Line>& lines, const std::string& id) {
+RequestLines CollectRequestLines(const std::vector<LogLine>& lines, const std::string& id) {
   RequestLines found;
-  for (const Line& line : lines) {
+  for (const LogLine& line : lines) {
     if (Field(line, "request") != id) {
       continue;
     }
@@ -94,36 +97,38 @@
     const std::size_t slash = model.find('/');
     found.model = model.substr(0, slash);
     found.adapter = slash == std::string::npos ? std::string() : model.substr(slash + 1);
-    found.ended = found.last->time;
-    found.began = found.ended - absl::Milliseconds(Number(*found.last, "total_ms"));
+    found.end_time = found.last->time;
+    found.arrival_time = found.end_time - absl::Milliseconds(Number(*found.last, "total_ms"));
   }
   return found;
 }
 
-// Orders for the request's model, and changes of its workers, while they could concern it.
-std::vector<const Line*> Context(const std::vector<Line>& lines, const RequestLines& request) {
-  std::vector<const Line*> context;
-  for (const Line& line : lines) {
-    if (line.time < request.began - kBefore || line.time > request.ended) {
+// Returns the events that could affect the request: orders for its model, changes of its workers,
+// and changes of the placement lease and of the store's availability.
+std::vector<const LogLine*> CollectContext(const std::vector<LogLine>& lines,
+                                           const RequestLines& request) {
+  std::vector<const LogLine*> context;
+  for (const LogLine& line : lines) {
+    if (line.time < request.arrival_time - kContextBeforeArrival || line.time > request.end_time) {
       continue;
     }
     const std::string event = Field(line, "event");
-    const bool order = (event == "order" || event == "order_answered") && !request.model.empty() &&
-                       Field(line, "model") == request.model;
-    const bool worker = (event == "worker_gone" || event == "worker_changed") &&
-                        request.workers.contains(Field(line, "worker"));
-    const bool state = event == "lease_acquired" || event == "lease_lost" ||
-                       event == "store_lost" || event == "store_regained";
-    if (order || worker || state) {
+    const bool is_order = (event == "order" || event == "order_answered") &&
+                          !request.model.empty() && Field(line, "model") == request.model;
+    const bool is_worker_change = (event == "worker_gone" || event == "worker_changed") &&
+                                  request.workers.contains(Field(line, "worker"));
+    const bool is_state_change = event == "lease_acquired" || event == "lease_lost" ||
+                                 event == "store_lost" || event == "store_regained";
+    if (is_order || is_worker_change || is_state_change) {
       context.push_back(&line);
     }
   }
   return context;
 }
 
-const Line* LastOrder(const std::vector<const Line*>& context, const char* operation) {
-  const Line* last = nullptr;
-  for (const Line* const line : context) {
+const LogLine* FindLastOrder(const std::vector<const LogLine*>& context, const char* operation) {
+  const LogLine* last = nullptr;
+  for (const LogLine* const line : context) {
     if (Field(*line, "event") == "order" && Field(*line, "operation") == operation) {
       last = line;
     }
@@ -131,8 +136,8 @@
   return last;
 }
 
-std::string LoadText(const std::vector<const Line*>& context) {
-  const Line* const load = LastOrder(context, "load");
+std::string DescribeLastLoad(const std::vector<const LogLine*>& context) {
+  const LogLine* const load = FindLastOrder(context, "load");
   if (load == nullptr) {
     return "; no load of it was ordered meanwhile";
   }
@@ -142,7 +147,7 @@
                       Field(*load, "why"), ")");
 }
 
-std::string RefusedCause(const Line& refused) {
+std::string RefusedCause(const LogLine& refused) {
   const std::string why = Field(refused, "why");
   if (why == "no_route") {
     return absl::StrCat("404: version ", Field(refused, "configuration"),
@@ -159,14 +164,14 @@
   return absl::StrCat("refused with status ", Field(refused, "status"), " (", why, ")");
 }
 
-std::string ServedCause(const RequestLines& request, const std::vector<const Line*>& context) {
+std::string ServedCause(const RequestLines& request, const std::vector<const LogLine*>& context) {
   const int sent = Number(*request.last, "sent_after_ms");
   const int first = Number(*request.last, "first_byte_ms");
-  if (sent >= kWaitedMs && !request.model.empty()) {
+  if (sent >= kLateDispatchMs && !request.model.empty()) {
     return absl::StrCat("served late: it waited ", sent, " ms for a replica of ",
-                        Field(*request.last, "model"), LoadText(context));
+                        Field(*request.last, "model"), DescribeLastLoad(context));
   }
-  if (sent >= kWaitedMs) {
+  if (sent >= kLateDispatchMs) {
     return absl::StrCat("served late: it waited ", sent, " ms for a worker with a free place");
   }
   if (first - sent >= kSlowWorkerMs) {
@@ -176,18 +181,18 @@
   return "served in time";
 }
 
-std::string FailedCause(const RequestLines& request, const std::vector<const Line*>& context) {
-  const Line& last = *request.last;
+std::string FailedCause(const RequestLines& request, const std::vector<const LogLine*>& context) {
+  const LogLine& last = *request.last;
   const std::string outcome = Field(last, "outcome");
   const std::string model = Field(last, "model");
   const std::string waited = Field(last, "total_ms");
   if (outcome == "model_absent") {
     return absl::StrCat("refused after ", waited, " ms: no worker held model ", model,
-                        LoadText(context));
+                        DescribeLastLoad(context));
   }
   if (outcome == "adapter_absent") {
     return absl::StrCat("refused after ", waited, " ms: workers with free places held the model, ",
-                        "none held adapter ", request.adapter, LoadText(context));
+                        "none held adapter ", request.adapter, DescribeLastLoad(context));
   }
   if (outcome == "all_busy") {
     return absl::StrCat("refused after ", waited, " ms: each worker that could run it was full");
@@ -205,7 +210,7 @@
   }
   if (outcome == "broken_off" || outcome == "silent" || outcome == "malformed") {
     std::string gone;
-    for (const Line* const line : context) {
+    for (const LogLine* const line : context) {
       if (Field(*line, "event") == "worker_gone" &&
           Field(*line, "worker") == Field(last, "worker")) {
         gone = absl::StrCat("; that worker's record went at ", Field(*line, "time"));
@@ -220,10 +225,11 @@
                         waited, " ms after it came");
   }
   if (outcome == "caller_gone") {
-    return absl::StrCat("the caller left after ", waited, " ms",
-                        Field(last, "sent_after_ms") == "never"
-                            ? absl::StrCat(" while it waited for a replica", LoadText(context))
-                            : std::string());
+    return absl::StrCat(
+        "the caller left after ", waited, " ms",
+        Field(last, "sent_after_ms") == "never"
+            ? absl::StrCat(" while it waited for a replica", DescribeLastLoad(context))
+            : std::string());
   }
   if (outcome == "worker_failure") {
     return absl::StrCat("worker ", Field(last, "worker"), " ran it and failed with status ",
@@ -236,10 +242,10 @@
 
 RequestExplanation ExplainRequest(const std::vector<std::string>& log_lines,
                                   const std::string& request_id) {
-  const std::vector<Line> lines = ReadLines(log_lines);
-  const RequestLines request = Collect(lines, request_id);
+  const std::vector<LogLine> lines = ParseLogLines(log_lines);
+  const RequestLines request = CollectRequestLines(lines, request_id);
   RequestExplanation explanation;
-  for (const Line* const attempt : request.attempts) {
+  for (const LogLine* const attempt : request.attempts) {
     explanation.lines.push_back(attempt->text);
   }
   if (request.last == nullptr && request.refused != nullptr) {
@@ -256,8 +262,8 @@
   }
   explanation.found = true;
   explanation.lines.push_back(request.last->text);
-  const std::vector<const Line*> context = Context(lines, request);
-  for (const Line* const line : context) {
+  const std::vector<const LogLine*> context = CollectContext(lines, request);
+  for (const LogLine* const line : context) {
     explanation.lines.push_back(line->text);
   }
   explanation.cause = Field(*request.last, "outcome") == "served" ? ServedCause(request, context)
--- a/src/operator/row_fields.cc
+++ b/src/operator/row_fields.cc
@@ -26,7 +26,7 @@
 constexpr std::string_view kWeightsType =
     "ZONE=WEIGHT, separated by blanks; empty: all zones alike";
 
-// A number field of a row.
+// A field of a row that holds a number.
 struct CountField {
   std::string_view name;
   std::uint32_t ModelRow::*member;
@@ -85,16 +85,16 @@
   return absl::StrJoin(parts, " ");
 }
 
-// --- Assignment: each returns what is wrong, or nothing.
+// --- Assignment. Each function returns a description of the problem, or an empty text.
 
 std::string ParseCount(const std::string& text, std::uint32_t minimum, std::uint32_t maximum,
                        std::uint32_t* value) {
   std::uint32_t number = 0;
   if (!absl::SimpleAtoi(text, &number)) {
-    return absl::StrCat("\"", text, "\" is no such number");
+    return absl::StrCat("\"", text, "\" is not a valid number");
   }
   if (number < minimum || number > maximum) {
-    return absl::StrCat(number, " is outside of the range");
+    return absl::StrCat(number, " is out of range");
   }
   *value = number;
   return "";
@@ -107,13 +107,13 @@
       return "";
     }
   }
-  return absl::StrCat("\"", text, "\" is no kind of row");
+  return absl::StrCat("\"", text, "\" is not a kind of row");
 }
 
 std::string ParseWeight(const std::string& zone, const std::string& text,
                         std::map<ZoneId, std::uint32_t>* weights) {
   if (!IsName(zone)) {
-    return absl::StrCat("\"", zone, "\" is no zone's name");
+    return absl::StrCat("\"", zone, "\" is not a valid zone name");
   }
   std::uint32_t weight = 0;
   std::string problem = ParseCount(text, 0, kLargestWeight, &weight);
@@ -130,7 +130,7 @@
   for (const std::string& part : parts) {
     const std::size_t equals = part.find('=');
     if (equals == std::string::npos) {
-      return absl::StrCat("\"", part, "\" is no ZONE=WEIGHT");
+      return absl::StrCat("\"", part, "\" is not of the form ZONE=WEIGHT");
     }
     std::string problem = ParseWeight(part.substr(0, equals), part.substr(equals + 1), &parsed);
     if (!problem.empty()) {
@@ -143,7 +143,7 @@
 
 std::string ParseOptionalName(const std::string& text, std::string* name) {
   if (!text.empty() && !IsName(text)) {
-    return absl::StrCat("\"", text, "\" is no name");
+    return absl::StrCat("\"", text, "\" is not a valid name");
   }
   *name = text;
   return "";
@@ -261,7 +261,7 @@
 
 void CheckRow(const ModelRow& row, const Place& place, Findings* findings) {
   if (!IsName(row.name.value())) {
-    Add(place, row, "name", absl::StrCat("\"", row.name.value(), "\" is no name"),
+    Add(place, row, "name", absl::StrCat("\"", row.name.value(), "\" is not a valid name"),
         std::string(kNameType), findings);
   }
   if (row.memory_mib == 0) {
--- a/src/operator/settings_command.cc
+++ b/src/operator/settings_command.cc
@@ -24,7 +24,7 @@
   for (const std::string& flag : flags) {
     const std::size_t equals = flag.find('=');
     if (equals == std::string::npos) {
-      findings.push_back({{"--set", 0, 0}, flag, "is no assignment", "KEY=VALUE"});
+      findings.push_back({{"--set", 0, 0}, flag, "is not an assignment", "KEY=VALUE"});
       continue;
     }
     overrides.push_back({flag.substr(0, equals), flag.substr(equals + 1)});
--- a/src/operator/sheet.cc
+++ b/src/operator/sheet.cc
@@ -19,16 +19,16 @@
 constexpr char kRevisionColumn[] = "revision";
 constexpr char kWeightsField[] = "weights";
 
-// A row as read, before its fields are understood.
+// A row as read from the file, before its fields are parsed.
 struct RawRow {
   std::string name;
   Place place;
   std::vector<FieldAssignment> assignments;
 };
 
-// --- From raw rows
+// --- Conversion of raw rows
 
-bool TakeRevision(const FieldAssignment& assignment, SheetRow* row, Findings* findings) {
+bool ParseRevisionField(const FieldAssignment& assignment, SheetRow* row, Findings* findings) {
   if (assignment.field != kRevisionColumn) {
     return false;
   }
@@ -39,9 +39,9 @@
   if (absl::SimpleAtoi(assignment.text, &revision)) {
     row->revision = TableRevision(revision);
   } else {
-    findings->push_back({assignment.place,
-                         absl::StrCat(row->row.name.value(), ".", kRevisionColumn),
-                         absl::StrCat("\"", assignment.text, "\" is no revision"), "integer"});
+    findings->push_back(
+        {assignment.place, absl::StrCat(row->row.name.value(), ".", kRevisionColumn),
+         absl::StrCat("\"", assignment.text, "\" is not a revision number"), "integer"});
   }
   return true;
 }
@@ -52,13 +52,13 @@
   row.place = raw.place;
   std::vector<FieldAssignment> fields;
   for (const FieldAssignment& assignment : raw.assignments) {
-    if (!TakeRevision(assignment, &row, findings)) {
+    if (!ParseRevisionField(assignment, &row, findings)) {
       fields.push_back(assignment);
     }
   }
   const std::size_t before = findings->size();
   AssignRowFields(fields, &row.row, findings);
-  // A refused value has its own finding: no second one for what it left unset.
+  // An invalid value already has a finding. CheckRow would report the unset field a second time.
   if (findings->size() == before) {
     CheckRow(row.row, raw.place, findings);
   }
@@ -67,7 +67,7 @@
 
 void AddRow(const RawRow& raw, std::set<std::string>* names, Sheet* sheet) {
   if (!names->insert(raw.name).second) {
-    sheet->findings.push_back({raw.place, raw.name, "stands in the sheet twice", "each row once"});
+    sheet->findings.push_back({raw.place, raw.name, "appears twice in the sheet", "each row once"});
     return;
   }
   sheet->rows.push_back(BuildRow(raw, &sheet->findings));
@@ -75,8 +75,8 @@
 
 // --- TOML
 
-// The text form of a value; false when no field has such a type.
-bool TextOf(const TomlValue& value, std::string* text) {
+// Converts a value to its text form. Returns false if no field has a value of this type.
+bool TomlValueToText(const TomlValue& value, std::string* text) {
   if (const auto* string = std::get_if<std::string>(&value)) {
     *text = *string;
     return true;
@@ -95,8 +95,8 @@
   if (std::holds_alternative<TomlTable>(entry.value) && assignment.field == kWeightsField) {
     return;
   }
-  if (!TextOf(entry.value, &assignment.text)) {
-    findings->push_back({entry.place, absl::StrJoin(entry.path, "."), "is of another type",
+  if (!TomlValueToText(entry.value, &assignment.text)) {
+    findings->push_back({entry.place, absl::StrJoin(entry.path, "."), "has the wrong type",
                          RowFieldType(assignment.field)});
     return;
   }
@@ -114,7 +114,7 @@
       row_index[entry.path[0]] = rows.size();
       rows.push_back({entry.path[0], entry.place, {}});
     } else {
-      findings->push_back({entry.place, entry.path[0], "stands outside of a row", "[NAME] first"});
+      findings->push_back({entry.place, entry.path[0], "is outside of any row", "[NAME] first"});
     }
   }
   for (const TomlEntry& entry : document.entries) {
@@ -198,7 +198,8 @@
   return text;
 }
 
-// Index of the name's column, or -1 with a finding. Unknown and doubled columns are findings.
+// Returns the index of the name column, or -1 and a finding if there is none. Unknown and duplicate
+// columns are findings.
 int CheckHeader(const std::vector<CsvCell>& header, Findings* findings) {
   std::set<std::string> known(RowFieldNames().begin(), RowFieldNames().end());
   known.insert(kNameColumn);
@@ -210,7 +211,7 @@
     if (!known.contains(cell.text)) {
       findings->push_back({cell.place, cell.text, "unknown column", absl::StrJoin(known, ", ")});
     } else if (!seen.insert(cell.text).second) {
-      findings->push_back({cell.place, cell.text, "column stands twice", "each column once"});
+      findings->push_back({cell.place, cell.text, "duplicate column", "each column once"});
     }
     if (cell.text == kNameColumn) {
       name_column = static_cast<int>(index);
@@ -235,7 +236,7 @@
       row.name = line[index].text;
       continue;
     }
-    // An empty cell stands for the default.
+    // An empty cell means the default value.
     if (!line[index].text.empty()) {
       row.assignments.push_back({header[index].text, line[index].text, line[index].place});
     }
@@ -251,7 +252,7 @@
   const std::vector<CsvCell>& header = document.lines[0];
   const std::size_t findings_before = findings->size();
   const int name_column = CheckHeader(header, findings);
-  // With a wrong header, every line would repeat its findings.
+  // With an invalid header, every line would repeat the same findings.
   if (findings->size() > findings_before) {
     return rows;
   }
--- a/src/operator/table_commands.cc
+++ b/src/operator/table_commands.cc
@@ -17,10 +17,10 @@
 using Json = nlohmann::json;
 
 constexpr char kArgumentPlace[] = "arguments";
-// Values of a row that are searched for the one of a revision.
-constexpr int kHistorySearched = 100;
+// Number of history entries that are searched for a revision.
+constexpr int kHistorySearchLimit = 100;
 
-// An unreadable file is a finding.
+// Reads a sheet. An unreadable file is a finding.
 Sheet LoadSheet(const std::string& file) {
   const Result<std::string> text = ReadTextFile(file);
   if (text.ok()) {
@@ -31,7 +31,7 @@
   return sheet;
 }
 
-// "field=value" as an assignment; without '=' a finding.
+// Parses "field=value" texts. A text without '=' is a finding.
 std::vector<FieldAssignment> ParseAssignments(const std::vector<std::string>& texts,
                                               Findings* findings) {
   std::vector<FieldAssignment> assignments;
@@ -39,7 +39,7 @@
     const Place place{kArgumentPlace, 0, 0};
     const std::size_t equals = text.find('=');
     if (equals == std::string::npos) {
-      findings->push_back({place, text, "is no assignment", "FIELD=VALUE"});
+      findings->push_back({place, text, "is not an assignment", "FIELD=VALUE"});
       continue;
     }
     assignments.push_back({text.substr(0, equals), text.substr(equals + 1), place});
@@ -152,13 +152,14 @@
 
 // --- History
 
-// An entry and how it differs from the one before it.
+// A history entry and its differences from the next older one.
 struct HistoryStep {
   HistoryEntry entry;
   std::vector<FieldDifference> differences;
 };
 
-// `entries` newest first; the last one is only compared with, if there are more than `limit`.
+// `entries` are newest first. An entry beyond `limit` only serves as the older side of a
+// comparison.
 std::vector<HistoryStep> HistorySteps(const std::vector<HistoryEntry>& entries, std::size_t limit) {
   std::vector<HistoryStep> steps;
   for (std::size_t index = 0; index < entries.size() && index < limit; ++index) {
@@ -197,9 +198,10 @@
   return json;
 }
 
-// --- Files of sheets
+// --- Sheet files
 
-// An empty file that only this user can read; the empty name when that fails.
+// Creates an empty file that only this user can read. Returns its path, or an empty string on
+// failure.
 std::string NewTemporaryFile(SheetFormat format) {
   const std::string suffix = format == SheetFormat::kCsv ? ".csv" : ".toml";
   std::error_code error;
@@ -287,7 +289,7 @@
   return ExitCode::kOk;
 }
 
-Result<Findings> TableCommands::CheckOthers(const RowEdit& edit, const VersionedRow& before) {
+Result<Findings> TableCommands::CheckReferences(const RowEdit& edit, const VersionedRow& before) {
   const bool is_new = !before.row.has_value();
   const bool kept = edit.wanted.has_value() && !is_new && edit.wanted->kind == before.row->kind &&
                     edit.wanted->base == before.row->base;
@@ -311,7 +313,7 @@
   if (!revision.has_value() || *revision == present.revision) {
     return present;
   }
-  const auto history = editor_->ReadHistory(name, kHistorySearched);
+  const auto history = editor_->ReadHistory(name, kHistorySearchLimit);
   if (history.ok()) {
     for (const HistoryEntry& entry : *history) {
       if (entry.revision == *revision) {
@@ -333,7 +335,7 @@
   AssignRowFields(ParseAssignments(request.assignments, &findings), &wanted, &findings);
   CheckRow(wanted, {kArgumentPlace, 0, 0}, &findings);
   const RowEdit edit{request.name, request.if_revision.value_or(present->revision), wanted};
-  const Result<Findings> others = CheckOthers(edit, *present);
+  const Result<Findings> others = CheckReferences(edit, *present);
   if (!others.ok()) {
     return Fail(others.error(), "read the table");
   }
@@ -357,7 +359,7 @@
     return ExitCode::kFailure;
   }
   const RowEdit edit{request.name, request.if_revision.value_or(present->revision), std::nullopt};
-  const Result<Findings> others = CheckOthers(edit, *present);
+  const Result<Findings> others = CheckReferences(edit, *present);
   if (!others.ok()) {
     return Fail(others.error(), "read the table");
   }
@@ -434,7 +436,7 @@
 }
 
 ExitCode TableCommands::History(const ModelName& name, int limit) {
-  // One more, to compare the oldest one shown with.
+  // Reads one more entry, so that the oldest one shown can be compared with its predecessor.
   const auto entries = editor_->ReadHistory(name, limit + 1);
   if (!entries.ok()) {
     return Fail(entries.error(), "read the row's history");
@@ -445,7 +447,7 @@
   return ExitCode::kOk;
 }
 
-bool TableCommands::WaitForReader(const std::string& file) {
+bool TableCommands::WaitForOperator(const std::string& file) {
   *terminal_.err << "Edit " << file << " and save it. Then press Enter here to apply it; "
                  << "end of input leaves the table as it is.\n";
   std::string line;
@@ -456,7 +458,7 @@
                                                         const std::string& file,
                                                         const RowsByName& base) {
   const MissingRows missing = request.allow_delete ? MissingRows::kDelete : MissingRows::kFinding;
-  while (WaitForReader(file)) {
+  while (WaitForOperator(file)) {
     SheetPlan plan = PlanSheet(LoadSheet(file), base, base, missing);
     if (plan.findings.empty()) {
       return plan;
--- a/src/operator/table_editor.cc
+++ b/src/operator/table_editor.cc
@@ -15,8 +15,8 @@
 
 constexpr int kChangesPerPage = 1000;
 
-// Whether the same call may have a better end a little later.
-bool MayPass(std::error_code error) {
+// Returns whether a retry of the call may succeed.
+bool IsTransient(std::error_code error) {
   return error == Error::kUnavailable || error == Error::kRateLimited || MayHaveTakenEffect(error);
 }
 
@@ -34,7 +34,7 @@
   return versioned;
 }
 
-// Null when the key's precondition held.
+// Returns the conflicting value of a key, or null if the key's precondition held.
 const StoredValue* FindConflict(const TransactionResult& result, const std::string& key) {
   for (const StoredValue& present : result.conflicting) {
     if (present.key == key) {
@@ -73,20 +73,20 @@
 
 TableEditor::TableEditor(TableService* service, TableEditorOptions options)
     : service_(service), options_(std::move(options)) {
-  if (!options_.pause) {
-    options_.pause = [](absl::Duration duration) { absl::SleepFor(duration); };
+  if (!options_.sleep) {
+    options_.sleep = [](absl::Duration duration) { absl::SleepFor(duration); };
   }
-  if (!options_.new_edit) {
-    options_.new_edit = NewEditId;
+  if (!options_.make_edit_id) {
+    options_.make_edit_id = NewEditId;
   }
   if (!options_.wall_time) {
     options_.wall_time = [] { return SystemClock().WallTime(); };
   }
 }
 
-void TableEditor::PauseBefore(int attempt) {
+void TableEditor::BackOffBefore(int attempt) {
   if (attempt > 0) {
-    options_.pause(options_.first_pause * (1 << (attempt - 1)));
+    options_.sleep(options_.initial_backoff * (1 << (attempt - 1)));
   }
 }
 
@@ -94,9 +94,9 @@
 Result<T> TableEditor::Retry(const Call& call) {
   Result<T> result = Error::kInternal;
   for (int attempt = 0; attempt < options_.maximum_attempts; ++attempt) {
-    PauseBefore(attempt);
+    BackOffBefore(attempt);
     result = call();
-    if (result.ok() || !MayPass(result.error())) {
+    if (result.ok() || !IsTransient(result.error())) {
       return result;
     }
   }
@@ -175,13 +175,14 @@
 }
 
 EditOutcome TableEditor::Apply(const RowEdit& edit) {
-  const EditId id = options_.new_edit();
+  const EditId id = options_.make_edit_id();
   const Transaction transaction = ToTransaction(edit, id);
   bool answer_was_lost = false;
   EditOutcome outcome;
   for (int attempt = 0; attempt < options_.maximum_attempts; ++attempt) {
-    PauseBefore(attempt);
-    // Repeating is safe: once an attempt takes effect, its id is there and all others fail.
+    BackOffBefore(attempt);
+    // A retry is safe: once an attempt takes effect, the edit id exists and all other attempts
+    // fail.
     const Result<TransactionResult> result = service_->Commit(transaction, options_.call_timeout);
     if (result.ok() && result->committed) {
       outcome.status = EditStatus::kApplied;
@@ -193,7 +194,7 @@
     }
     outcome.error = result.error();
     answer_was_lost = answer_was_lost || MayHaveTakenEffect(result.error());
-    if (!MayPass(result.error())) {
+    if (!IsTransient(result.error())) {
       break;
     }
   }
@@ -213,7 +214,8 @@
     outcome.error = Error::kMalformed;
     return outcome;
   }
-  // A row that is no conflict is as the edit expected it: absent again, if the edit made it.
+  // A row that is not among the conflicts has the expected revision. If the edit created the row,
+  // the row has been deleted since.
   if (row != nullptr) {
     Result<VersionedRow> present = RowOfValue(RowKey(edit.name), *row);
     if (!present.ok()) {
--- a/tests/operator/command_line_test.cc
+++ b/tests/operator/command_line_test.cc
@@ -18,7 +18,7 @@
 constexpr int kUsage = 2;
 constexpr int kUnreachable = 4;
 
-// One call of the command.
+// Runs the command once and keeps its exit code and output.
 struct Call {
   explicit Call(std::vector<std::string> arguments) {
     arguments.insert(arguments.begin(), "hingespan");
@@ -42,7 +42,7 @@
   std::string err;
 };
 
-// The admin paths of a node.
+// An HTTP server with the admin paths of a node.
 class FakeNode {
  public:
   FakeNode() {
@@ -79,7 +79,7 @@
   std::thread thread_;
 };
 
-TEST_CASE("help teaches: examples and exit codes") {
+TEST_CASE("help shows examples and exit codes") {
   const Call help({"--help"});
   CHECK(help.code == kOk);
   CHECK(help.Prints("Examples:"));
@@ -96,13 +96,13 @@
   CHECK(Call({"table", "list", "--platform", ""}).code == kUsage);
 }
 
-TEST_CASE("a platform or node that does not listen is unreachable") {
+TEST_CASE("a platform or node that does not listen is reported as unreachable") {
   CHECK(Call({"table", "list", "--platform", "127.0.0.1:1", "--attempts", "1"}).code ==
         kUnreachable);
   CHECK(Call({"status", "--node", "127.0.0.1:1"}).code == kUnreachable);
 }
 
-TEST_CASE("status, explain and drain ask the node") {
+TEST_CASE("status, explain and drain call the node") {
   const FakeNode node;
   const TemporaryFile key(".key", "the-operators-key\n");
   const Call status({"status", "--node", node.address(), "--operator-key-file", key.path()});
@@ -119,7 +119,7 @@
   CHECK(drain.Prints("\"worker\": \"w1\""));
 }
 
-TEST_CASE("check-settings prints findings with their places, or that there are none") {
+TEST_CASE("check-settings prints findings with their positions, or that there are none") {
   const TemporaryFile file(".toml",
                            "[node]\nzones = [\"z1\"]\n[platform]\naddress = \"127.0.0.1:1\"\n");
   const Call found({"check-settings", file.path()});
@@ -131,7 +131,7 @@
   CHECK(Call({"check-settings", "--describe"}).Prints("| `membership.probe_interval_ms` |"));
 }
 
-TEST_CASE("the completion script knows every command and flag") {
+TEST_CASE("the completion script covers every command and flag") {
   const Call completion({"completion", "bash"});
   CHECK(completion.code == kOk);
   CHECK(completion.Prints("'table import') words='--help --base --allow-delete --dry-run'"));
--- a/tests/operator/deployments_test.cc
+++ b/tests/operator/deployments_test.cc
@@ -1,4 +1,4 @@
-// The files under deployments/ are right, and at the sizes of their users.
+// Checks that the files under deployments/ are valid and have the sizes that their users need.
 #include <doctest/doctest.h>
 
 #include <set>
@@ -20,7 +20,7 @@
   std::vector<ZoneId> zones;
   int models = 0;
   int adapters = 0;
-  // Memory of all its workers.
+  // Total memory of all workers.
   std::uint64_t workers_mib = 0;
 };
 
@@ -67,7 +67,7 @@
   }
 }
 
-TEST_CASE("the emulators' settings are TOML") {
+TEST_CASE("the emulators' settings are valid TOML") {
   for (const Deployment& deployment : Deployments()) {
     const std::string file = FileOf(deployment, "emulator.toml");
     const Result<std::string> text = ReadTextFile(file);
@@ -91,7 +91,8 @@
   }
 }
 
-TEST_CASE("the tables have the users' sizes, and more models than memory") {
+TEST_CASE(
+    "the tables have the users' sizes, and the models need more memory than the workers have") {
   for (const Deployment& deployment : Deployments()) {
     int models = 0;
     int adapters = 0;
@@ -108,7 +109,7 @@
   }
 }
 
-TEST_CASE("Corail pays more to keep models warm than Constanta") {
+TEST_CASE("Corail weighs cold starts higher against idle memory than Constanta") {
   const KeepWarmOptions corail = NodeOf(Deployments()[0]).settings.core.keeper.keep_warm;
   const KeepWarmOptions constanta = NodeOf(Deployments()[1]).settings.core.keeper.keep_warm;
   CHECK(corail.cold_start_cost_per_second / corail.idle_cost_per_gib_second >
--- a/tests/operator/fake_table_service.h
+++ b/tests/operator/fake_table_service.h
@@ -1,4 +1,4 @@
-// The platform's table service in memory, which loses answers and lets others edit in between.
+// An in-memory table service that can lose answers and run concurrent edits between commits.
 #ifndef HINGESPAN_TESTS_OPERATOR_FAKE_TABLE_SERVICE_H_
 #define HINGESPAN_TESTS_OPERATOR_FAKE_TABLE_SERVICE_H_
 
@@ -14,16 +14,16 @@
 
 namespace hingespan {
 
-// How a commit goes.
+// Fault injected into a commit.
 enum class CommitFault {
   kNone,
-  // The error comes without an effect.
+  // The commit fails without an effect.
   kUnavailable,
   kRateLimited,
-  // The error comes after the effect.
+  // The commit takes effect, then the caller gets an error.
   kAnswerLost,
   kTimeoutAfterEffect,
-  // The error comes without an effect, but the caller can't know.
+  // The commit has no effect, but the caller can't tell from the error.
   kTimeoutWithoutEffect,
 };
 
@@ -32,10 +32,10 @@
  public:
   // Faults of the next commits, in order.
   std::deque<CommitFault> faults;
-  // Called once, before the next commit; another operator's edit goes here.
+  // Called once, before the next commit. Tests make another operator's edit here.
   std::function<void()> before_next_commit;
   int commits = 0;
-  // Changes that one page holds at most.
+  // Maximum number of changes in one page.
   int page_limit = 1000;
 
   Result<TransactionResult> Commit(const Transaction& transaction, absl::Duration) override {
@@ -53,19 +53,19 @@
       case CommitFault::kTimeoutWithoutEffect:
         return Error::kTimeout;
       case CommitFault::kAnswerLost:
-        CommitNow(transaction);
+        CommitWithoutFaults(transaction);
         return Error::kAnswerLost;
       case CommitFault::kTimeoutAfterEffect:
-        CommitNow(transaction);
+        CommitWithoutFaults(transaction);
         return Error::kTimeout;
       case CommitFault::kNone:
         break;
     }
-    return CommitNow(transaction);
+    return CommitWithoutFaults(transaction);
   }
 
-  // Without faults: for other operators and for setting up.
-  TransactionResult CommitNow(const Transaction& transaction) {
+  // Commits without faults. For test setup and edits by other operators.
+  TransactionResult CommitWithoutFaults(const Transaction& transaction) {
     TransactionResult result;
     for (const Precondition& precondition : transaction.preconditions) {
       const StoredValue present = Present(precondition.key);
--- a/tests/operator/operations_page_test.cc
+++ b/tests/operator/operations_page_test.cc
@@ -1,4 +1,4 @@
-// The operators' page shows the settings as they are.
+// Checks that the operators' documentation lists the present settings.
 #include <doctest/doctest.h>
 
 #include <string>
--- a/tests/operator/sheet_test.cc
+++ b/tests/operator/sheet_test.cc
@@ -42,7 +42,7 @@
   });
 }
 
-TEST_CASE("rows come back from both forms of sheet, with and without revisions") {
+TEST_CASE("rows survive a round trip through TOML and CSV sheets, with and without revisions") {
   for (SheetFormat format : {SheetFormat::kToml, SheetFormat::kCsv}) {
     for (bool with_revisions : {false, true}) {
       const std::string text = EncodeSheet(TwoRows(), format, with_revisions);
@@ -58,7 +58,7 @@
   }
 }
 
-TEST_CASE("all findings of a TOML sheet come together, with line and column") {
+TEST_CASE("all findings of a TOML sheet are reported together, with line and column") {
   const Sheet sheet = DecodeSheet(R"(loose = 1
 [a]
 memory_mib = 0
@@ -81,7 +81,7 @@
   CHECK(sheet.findings.size() == 6);
 }
 
-TEST_CASE("all findings of a CSV sheet come together, with line and column") {
+TEST_CASE("all findings of a CSV sheet are reported together, with line and column") {
   const Sheet sheet = DecodeSheet(
       "name,kind,memory_mib\n"
       "a,thing,10\n"
@@ -97,7 +97,7 @@
   CHECK(sheet.findings.size() == 5);
 }
 
-TEST_CASE("columns that are unknown, doubled or missing are findings") {
+TEST_CASE("unknown, duplicate and missing columns are findings") {
   const Sheet sheet =
       DecodeSheet("kind,colour,kind\nmodel,red,model\n", "sheet.csv", SheetFormat::kCsv);
   CHECK(Has(sheet.findings, "colour", 1, 6));
@@ -106,7 +106,7 @@
   CHECK(sheet.rows.empty());
 }
 
-TEST_CASE("CSV keeps commas, quotes and line breaks of cells") {
+TEST_CASE("commas, quotes and line breaks in cells survive a CSV round trip") {
   const std::vector<std::string> cells = {"", "a,b", "say \"x\"", "two\nlines", "plain"};
   const CsvDocument document = ParseCsv(EncodeCsvLine(cells), "file");
   REQUIRE(document.lines.size() == 1);
@@ -118,7 +118,7 @@
   CHECK(ParseCsv("a\r\n\r\nb", "file").lines.size() == 2);
 }
 
-TEST_CASE("a base must be there, and adapters stand on no adapter") {
+TEST_CASE("a base must exist, and an adapter's base is no adapter") {
   RowsByName rows = TwoRows();
   Findings findings;
   CheckBases(rows, {}, &findings);
@@ -137,7 +137,7 @@
   CHECK(findings.size() == 3);
 }
 
-TEST_CASE("differences name the fields, and pass over who edited") {
+TEST_CASE("differences name the fields and ignore the editor") {
   ModelRow before = FullRow();
   ModelRow after = before;
   after.max_replicas = 5;
@@ -149,7 +149,7 @@
   CHECK(DiffRows(before, std::nullopt).size() == RowFieldNames().size());
 }
 
-TEST_CASE("assignments that are wrong are reported together; the others are carried out") {
+TEST_CASE("invalid assignments are reported together, and the others are applied") {
   ModelRow row = FullRow();
   Findings findings;
   AssignRowFields({{"max_replicas", "9", {}},
@@ -163,7 +163,7 @@
   CHECK(findings.size() == 3);
 }
 
-TEST_CASE("fields of a row that contradict each other are findings") {
+TEST_CASE("contradictory fields of a row are findings") {
   ModelRow row = FullRow();
   row.kind = RowKind::kModel;
   row.min_replicas = 4;
--- a/tests/operator/table_commands_test.cc
+++ b/tests/operator/table_commands_test.cc
@@ -14,10 +14,10 @@
 namespace hingespan {
 namespace {
 
-// Input whose lines come from a function, so that a test can act while a command waits.
+// Input stream that calls a function for each line, so that a test can act while a command waits.
 class ScriptedInput : public std::streambuf {
  public:
-  // Called when a line is asked for; false ends the input.
+  // Called when a line is read. Returning false ends the input.
   std::function<bool()> on_line = [] { return false; };
 
  protected:
@@ -34,7 +34,7 @@
   char line_ = '\n';
 };
 
-// One operator's command with its streams.
+// The table commands of one operator, with their streams.
 class Session {
  public:
   Session(TableService* service, const std::string& name, OutputFormat format)
@@ -57,7 +57,7 @@
   static TableEditorOptions Options(const std::string& name) {
     TableEditorOptions options;
     options.editor = name;
-    options.pause = [](absl::Duration) {};
+    options.sleep = [](absl::Duration) {};
     return options;
   }
 
@@ -72,8 +72,8 @@
   return stream.str().find(text) != std::string::npos;
 }
 
-// A table with model "a" and adapter "b" of it.
-void Fill(FakeTableService* service) {
+// Creates model "a" and its adapter "b".
+void CreateModelAndAdapter(FakeTableService* service) {
   Session setup(service, "setup");
   REQUIRE(setup.Set("a", {"memory_mib=100"}) == ExitCode::kOk);
   REQUIRE(setup.Set("b", {"kind=adapter", "base=a", "memory_mib=10"}) == ExitCode::kOk);
@@ -117,16 +117,16 @@
 
 TEST_CASE("set without a change writes nothing") {
   FakeTableService service;
-  Fill(&service);
+  CreateModelAndAdapter(&service);
   const int commits = service.commits;
   Session anne(&service, "anne");
   CHECK(anne.Set("a", {"memory_mib=100"}) == ExitCode::kOk);
   CHECK(service.commits == commits);
 }
 
-TEST_CASE("a conflict shows what was seen, what is there and by whom, and what was wanted") {
+TEST_CASE("a conflict shows the seen, present and wanted values and the other editor") {
   FakeTableService service;
-  Fill(&service);
+  CreateModelAndAdapter(&service);
   Session bela(&service, "bela");
   service.before_next_commit = [&] { bela.Set("a", {"max_replicas=7"}); };
   Session anne(&service, "anne", OutputFormat::kJson);
@@ -139,9 +139,9 @@
         nlohmann::json::parse(R"([{"field":"max_replicas","seen":"1","now":"7","wanted":"2"}])"));
 }
 
-TEST_CASE("a revision asked for must be the present one") {
+TEST_CASE("--if-revision conflicts unless it is the row's present revision") {
   FakeTableService service;
-  Fill(&service);
+  CreateModelAndAdapter(&service);
   Session anne(&service, "anne");
   CHECK(anne.commands.Set({ModelName("a"), {"max_replicas=2"}, TableRevision(9)}) ==
         ExitCode::kConflict);
@@ -157,7 +157,7 @@
 
 TEST_CASE("a row that others are based on can be neither deleted nor turned into an adapter") {
   FakeTableService service;
-  Fill(&service);
+  CreateModelAndAdapter(&service);
   Session anne(&service, "anne");
   CHECK(anne.commands.Delete({ModelName("a"), std::nullopt}) == ExitCode::kUsage);
   CHECK(anne.Set("a", {"kind=adapter", "base=b"}) == ExitCode::kUsage);
@@ -165,7 +165,7 @@
   CHECK(anne.commands.Delete({ModelName("a"), std::nullopt}) == ExitCode::kOk);
 }
 
-TEST_CASE("a platform that can't be reached is told apart from other failures") {
+TEST_CASE("a platform that can't be reached is reported as unreachable, not as another failure") {
   FakeTableService service;
   Session anne(&service, "anne");
   service.faults.assign(10, CommitFault::kUnavailable);
@@ -178,7 +178,7 @@
 
 TEST_CASE("import writes bases first and only what differs") {
   FakeTableService service;
-  Fill(&service);
+  CreateModelAndAdapter(&service);
   const int commits = service.commits;
   const TemporaryFile sheet(".toml", R"(
 [aa-adapter]
@@ -209,9 +209,9 @@
   CHECK(anne.commands.Import({"absent.toml", "", false, false}) == ExitCode::kUsage);
 }
 
-TEST_CASE("import against a base keeps what others changed meanwhile in other rows") {
+TEST_CASE("import with a base keeps concurrent changes of other rows") {
   FakeTableService service;
-  Fill(&service);
+  CreateModelAndAdapter(&service);
   Session exporter(&service, "anne");
   REQUIRE(exporter.commands.Export(SheetFormat::kCsv, true) == ExitCode::kOk);
   const std::string before = exporter.out.str();
@@ -227,13 +227,13 @@
   CHECK(reader.Json()[0]["max_replicas"] == 9);
   CHECK(reader.Json()[1]["max_replicas"] == 4);
 
-  // The same once more: the row has moved on since the base.
+  // The same import again conflicts, because the row has a later revision than the base.
   CHECK(anne.commands.Import({edited.path(), base.path(), false, false}) == ExitCode::kConflict);
 }
 
-TEST_CASE("rows gone from an edited sheet are deleted only on request") {
+TEST_CASE("rows missing from an edited sheet are deleted only with --allow-delete") {
   FakeTableService service;
-  Fill(&service);
+  CreateModelAndAdapter(&service);
   Session exporter(&service, "anne");
   REQUIRE(exporter.commands.Export(SheetFormat::kToml, true) == ExitCode::kOk);
   const TemporaryFile base(".toml", exporter.out.str());
@@ -247,9 +247,10 @@
   CHECK(reader.Json().empty());
 }
 
-TEST_CASE("edit waits, reads again after findings, and reports conflicts of all rows together") {
+TEST_CASE(
+    "edit waits, reads the sheet again after findings, and reports the conflicts of all rows") {
   FakeTableService service;
-  Fill(&service);
+  CreateModelAndAdapter(&service);
   Session bela(&service, "bela");
   const TemporaryFile sheet(".toml");
   Session anne(&service, "anne");
@@ -273,9 +274,9 @@
   CHECK(Contains(anne.out, "b: applied"));
 }
 
-TEST_CASE("edit that is given up changes nothing") {
+TEST_CASE("edit changes nothing if the operator ends the input") {
   FakeTableService service;
-  Fill(&service);
+  CreateModelAndAdapter(&service);
   const int commits = service.commits;
   const TemporaryFile sheet(".csv");
   Session anne(&service, "anne");
@@ -285,7 +286,7 @@
 
 TEST_CASE("diff shows rows added, changed and absent") {
   FakeTableService service;
-  Fill(&service);
+  CreateModelAndAdapter(&service);
   const TemporaryFile sheet(".toml", "[a]\nmemory_mib = 1\n[c]\nmemory_mib = 2\n");
   Session anne(&service, "anne", OutputFormat::kJson);
   CHECK(anne.commands.Diff(sheet.path()) == ExitCode::kOk);
--- a/tests/operator/table_editor_test.cc
+++ b/tests/operator/table_editor_test.cc
@@ -19,7 +19,7 @@
   return row;
 }
 
-// An operator whose pauses are counted instead of waited for.
+// An operator whose backoff delays are recorded instead of slept.
 class Operator {
  public:
   Operator(TableService* service, const std::string& name) : editor_(service, MakeOptions(name)) {}
@@ -38,8 +38,8 @@
     TableEditorOptions options;
     options.editor = name;
     options.maximum_attempts = 4;
-    options.pause = [this](absl::Duration pause) { pauses_.push_back(pause); };
-    options.new_edit = [this, name] { return EditId(absl::StrCat(name, "-", ++edits_)); };
+    options.sleep = [this](absl::Duration pause) { pauses_.push_back(pause); };
+    options.make_edit_id = [this, name] { return EditId(absl::StrCat(name, "-", ++edits_)); };
     return options;
   }
 
@@ -48,7 +48,7 @@
   TableEditor editor_;
 };
 
-TEST_CASE("an edit goes to the table with its id and author") {
+TEST_CASE("an edit stores its id and editor in the row") {
   FakeTableService service;
   Operator anne(&service, "anne");
   const EditOutcome outcome = anne.Set(TableRevision(), Row("a", 2));
@@ -61,7 +61,7 @@
   CHECK(row->row->edit == EditId("anne-1"));
 }
 
-TEST_CASE("an answer lost after the effect is recognised: the edit happens once") {
+TEST_CASE("an edit whose answer was lost after it took effect is applied only once") {
   for (CommitFault fault : {CommitFault::kAnswerLost, CommitFault::kTimeoutAfterEffect}) {
     FakeTableService service;
     Operator anne(&service, "anne");
@@ -74,7 +74,7 @@
   }
 }
 
-TEST_CASE("an answer lost without an effect is made good") {
+TEST_CASE("an edit whose answer was lost before it took effect is retried") {
   FakeTableService service;
   Operator anne(&service, "anne");
   service.faults = {CommitFault::kTimeoutWithoutEffect, CommitFault::kRateLimited};
@@ -83,7 +83,7 @@
         std::vector<absl::Duration>{absl::Milliseconds(200), absl::Milliseconds(400)});
 }
 
-TEST_CASE("of two operators at one revision the second gets a conflict with the first's value") {
+TEST_CASE("the second of two edits at one revision gets a conflict with the first one's value") {
   FakeTableService service;
   Operator anne(&service, "anne");
   Operator bela(&service, "bela");
@@ -97,19 +97,20 @@
   CHECK(anne.editor().ReadRow(ModelName("a"))->row->max_replicas == 7);
 }
 
-TEST_CASE("a lost answer, then another operator's edit: told apart from a conflict") {
+TEST_CASE(
+    "after a lost answer, a later edit by another operator is distinguished from a conflict") {
   FakeTableService service;
   Operator anne(&service, "anne");
   Operator bela(&service, "bela");
   const TableRevision base = anne.Set(TableRevision(), Row("a", 1)).revision;
 
-  SUBCASE("the lost edit had its effect") {
+  SUBCASE("the first attempt took effect") {
     service.faults = {CommitFault::kAnswerLost};
     bool raced = false;
     TableEditorOptions options;
     options.editor = "cora";
-    options.new_edit = [] { return EditId("cora-1"); };
-    options.pause = [&](absl::Duration) {
+    options.make_edit_id = [] { return EditId("cora-1"); };
+    options.sleep = [&](absl::Duration) {
       raced = true;
       bela.Set(base.Next(), Row("a", 7));
     };
@@ -119,19 +120,19 @@
     CHECK(outcome.status == EditStatus::kAppliedThenChanged);
     CHECK(outcome.present.row->editor == "bela");
   }
-  SUBCASE("the lost edit had none") {
+  SUBCASE("the first attempt had no effect") {
     service.faults = {CommitFault::kTimeoutWithoutEffect};
     TableEditorOptions options;
     options.editor = "cora";
-    options.new_edit = [] { return EditId("cora-1"); };
-    options.pause = [&](absl::Duration) { bela.Set(base, Row("a", 7)); };
+    options.make_edit_id = [] { return EditId("cora-1"); };
+    options.sleep = [&](absl::Duration) { bela.Set(base, Row("a", 7)); };
     TableEditor cora(&service, options);
     const EditOutcome outcome = cora.Apply({ModelName("a"), base, Row("a", 2)});
     CHECK(outcome.status == EditStatus::kConflict);
   }
 }
 
-TEST_CASE("retries are bounded, and the end says whether an effect is possible") {
+TEST_CASE("retries are bounded, and the outcome tells whether the edit may have been applied") {
   FakeTableService service;
   Operator anne(&service, "anne");
   service.faults.assign(10, CommitFault::kUnavailable);
@@ -156,31 +157,31 @@
   CHECK_FALSE(anne.editor().ReadHistory(ModelName("a"), 1)->at(0).row.has_value());
 }
 
-TEST_CASE("a deletion with a lost answer, then a new row: applied, and changed since") {
+TEST_CASE("a row created after a deletion with a lost answer is reported as changed since") {
   FakeTableService service;
   Operator bela(&service, "bela");
   const TableRevision base = bela.Set(TableRevision(), Row("a", 1)).revision;
   service.faults = {CommitFault::kAnswerLost};
   TableEditorOptions options;
-  options.pause = [&](absl::Duration) { bela.Set(TableRevision(), Row("a", 7)); };
+  options.sleep = [&](absl::Duration) { bela.Set(TableRevision(), Row("a", 7)); };
   TableEditor anne(&service, options);
   const EditOutcome outcome = anne.Apply({ModelName("a"), base, std::nullopt});
   CHECK(outcome.status == EditStatus::kAppliedThenChanged);
   CHECK(outcome.present.row->max_replicas == 7);
 }
 
-// Edits once: its first answer is lost, and `meanwhile` happens before it tries again.
+// Applies an edit whose first commit has a fault. `meanwhile` runs before the retry.
 EditOutcome EditWithLostAnswer(FakeTableService* service, CommitFault fault, const RowEdit& edit,
                                const std::function<void()>& meanwhile) {
   service->faults = {fault};
   TableEditorOptions options;
   options.editor = "cora";
-  options.new_edit = [] { return EditId("cora-1"); };
-  options.pause = [&](absl::Duration) { meanwhile(); };
+  options.make_edit_id = [] { return EditId("cora-1"); };
+  options.sleep = [&](absl::Duration) { meanwhile(); };
   return TableEditor(service, options).Apply(edit);
 }
 
-TEST_CASE("a repeated creation does not bring back a row that was deleted since") {
+TEST_CASE("a retried creation does not restore a row that was deleted since") {
   for (CommitFault fault : {CommitFault::kAnswerLost, CommitFault::kTimeoutAfterEffect}) {
     FakeTableService service;
     Operator bela(&service, "bela");
@@ -194,18 +195,18 @@
   }
 }
 
-TEST_CASE("a deletion by somebody else is a conflict, never reported as one's own") {
+TEST_CASE("a deletion by another operator is a conflict, never reported as one's own") {
   FakeTableService service;
   Operator anne(&service, "anne");
   Operator bela(&service, "bela");
   const TableRevision base = anne.Set(TableRevision(), Row("a", 1)).revision;
   const auto bela_deletes = [&] { bela.Delete(base, "a"); };
   EditOutcome outcome;
-  SUBCASE("in time") {
+  SUBCASE("before the first attempt") {
     service.before_next_commit = bela_deletes;
     outcome = anne.Delete(base, "a");
   }
-  SUBCASE("after an answer that was lost without an effect") {
+  SUBCASE("after a first attempt that timed out without an effect") {
     outcome = EditWithLostAnswer(&service, CommitFault::kTimeoutWithoutEffect,
                                  {ModelName("a"), base, std::nullopt}, bela_deletes);
   }
@@ -213,14 +214,14 @@
   CHECK_FALSE(outcome.present.row.has_value());
 }
 
-TEST_CASE("each edit leaves its id: who, when and what row") {
+TEST_CASE("each edit stores its editor, time and row under its id") {
   FakeTableService service;
   TableEditorOptions options;
   options.editor = "anne";
-  options.new_edit = [] { return EditId("anne-1"); };
+  options.make_edit_id = [] { return EditId("anne-1"); };
   options.wall_time = [] { return absl::FromUnixMillis(1'800'000'000'123); };
   TableEditor(&service, options).Apply({ModelName("a"), TableRevision(), Row("a", 1)});
-  options.new_edit = [] { return EditId("anne-2"); };
+  options.make_edit_id = [] { return EditId("anne-2"); };
   TableEditor(&service, options).Apply({ModelName("a"), TableRevision(1), std::nullopt});
   for (const EditId& id : {EditId("anne-1"), EditId("anne-2")}) {
     const Result<StoredValue> stored = service.Read(EditKey(id), {});
@@ -232,7 +233,7 @@
   }
 }
 
-TEST_CASE("all rows are read over several pages, other kinds of keys and deleted rows left out") {
+TEST_CASE("all rows are read over several pages, without other kinds of keys and deleted rows") {
   FakeTableService service;
   service.page_limit = 2;
   Operator anne(&service, "anne");
@@ -240,7 +241,7 @@
     anne.Set(TableRevision(), Row(name, 1));
   }
   anne.Delete(TableRevision(2), "b");
-  service.CommitNow({{}, {{"grants/a", "{}"}}});
+  service.CommitWithoutFaults({{}, {{"grants/a", "{}"}}});
   const auto rows = anne.editor().ReadRows();
   REQUIRE(rows.ok());
   CHECK(rows->size() == 4);
@@ -248,9 +249,9 @@
   CHECK(rows->at(ModelName("c")).revision == TableRevision(3));
 }
 
-TEST_CASE("a value that is no row is an error, not an absent row") {
+TEST_CASE("a value that can't be decoded as a row is an error, not an absent row") {
   FakeTableService service;
-  service.CommitNow({{}, {{"rows/a", "{}"}}});
+  service.CommitWithoutFaults({{}, {{"rows/a", "{}"}}});
   Operator anne(&service, "anne");
   CHECK(anne.editor().ReadRow(ModelName("a")).error() == Error::kMalformed);
   CHECK(anne.editor().ReadRows().error() == Error::kMalformed);
--- a/tests/operator/temporary_file.h
+++ b/tests/operator/temporary_file.h
@@ -1,4 +1,4 @@
-// A file in the system's temporary directory, removed at the end.
+// A file in the system's temporary directory that is removed by the destructor.
 #ifndef HINGESPAN_TESTS_OPERATOR_TEMPORARY_FILE_H_
 #define HINGESPAN_TESTS_OPERATOR_TEMPORARY_FILE_H_
 
