--- a/include/hingespan/node/admin_front_end.h
+++ b/include/hingespan/node/admin_front_end.h
@@ -1,4 +1,4 @@
-// The HTTP paths for operators: what this node knows, why a model is where it is, and drain.
+// HTTP endpoints for operators: the node's status, an explanation of where a model runs, and drain.
 #ifndef HINGESPAN_NODE_ADMIN_FRONT_END_H_
 #define HINGESPAN_NODE_ADMIN_FRONT_END_H_
 
@@ -17,11 +17,11 @@
 namespace hingespan {
 
 struct AdminFrontEndOptions {
-  // Operators' "Authorization: Bearer ..."; empty: not asked for.
+  // Key that operators must send as a bearer token; empty if none is required.
   std::string operator_key;
-  // Begins this node's planned stop.
+  // Begins the planned stop of this node.
   std::function<void()> begin_stop;
-  // Where workers are drained; must outlive the front end.
+  // Receives requests to drain a worker. Must outlive the front end.
   MachineList* machines = nullptr;
 };
 
@@ -30,7 +30,7 @@
  public:
   AdminFrontEnd(AdminFrontEndOptions options, CoreDriver* driver);
 
-  // This must outlive the server.
+  // Registers the endpoints. This object must outlive the server.
   void AddRoutes(httplib::Server* server);
 
  private:
--- a/include/hingespan/node/answer_format.h
+++ b/include/hingespan/node/answer_format.h
@@ -1,4 +1,4 @@
-// The OpenAI-compatible JSON of answers, stream events and refusals. Pure text.
+// Formats answers, stream events and refusals as OpenAI-compatible JSON. Does no I/O.
 #ifndef HINGESPAN_NODE_ANSWER_FORMAT_H_
 #define HINGESPAN_NODE_ANSWER_FORMAT_H_
 
@@ -13,56 +13,58 @@
 
 namespace hingespan {
 
-// The ending of every complete event stream.
+// Last event of every complete event stream.
 inline constexpr char kDoneEvent[] = "data: [DONE]\n\n";
 
-// What all parts of one answer have in common.
+// Fields that all parts of one answer share.
 struct AnswerIdentity {
   CallKind kind = CallKind::kChat;
   RequestId request;
   ModelName model;
-  // Seconds since 1970.
+  // Creation time in seconds since the Unix epoch.
   std::int64_t created = 0;
   bool include_usage = false;
 };
 
-// Not thread-safe. Keeps what is the same in every event, so that a token costs little.
+// Formats one answer. Precomputes the parts that all events share, to keep the cost per token low.
+// Not thread-safe.
 class AnswerFormat {
  public:
   explicit AnswerFormat(const AnswerIdentity& identity);
 
-  // The first event of a chat stream: the role. Empty for completions.
+  // Returns the first event of a chat stream, which carries the role. Empty for text completions.
   std::string OpeningEvent() const;
-  // Appends the event of a chunk that is not the last.
+  // Appends the event of a chunk that is not the last one.
   void AppendTextEvent(std::string_view text, std::string* events) const;
-  // The events that end the stream: finish reason, usage if asked for, [DONE].
+  // Returns the events that end the stream: finish reason, usage if requested, and [DONE].
   std::string ClosingEvents(const GenerationChunk& last) const;
-  // A whole answer.
+  // Returns the body of an answer that is not streamed.
   std::string WholeAnswer(std::string_view text, const GenerationChunk& last) const;
 
  private:
   std::string Event(std::string_view choice_members, std::string_view more_members) const;
 
   const AnswerIdentity identity_;
-  // {"id":...,"object":...,"created":...,"model":...
+  // Unclosed JSON object with the members id, object, created and model.
   std::string stream_head_;
   std::string whole_head_;
   std::string text_event_head_;
   std::string text_event_tail_;
 };
 
-// {"error":{...}} of a refusal.
+// Returns the body {"error":{...}} of a refusal.
 std::string RefusalBody(const Refusal& refusal);
-// {"error":{...}} of a bad request. With a key, earlier requests with it may have run.
+// Returns the body {"error":{...}} of an invalid request. If the request has an idempotency key,
+// the body says that earlier requests with the same key may have run.
 std::string BadRequestBody(const CallerProblem& problem, bool has_key);
-// {"error":{...}} of a request that was refused before it was understood.
+// Returns the body {"error":{...}} of a request that was rejected before it was parsed.
 std::string HttpErrorBody(int status, std::string_view message);
-// {"error":{...}} for a caller whose request was not read, since the node stops.
+// Returns the body {"error":{...}} of a request that was not read because the node is stopping.
 std::string HttpStoppingBody(std::string_view message);
-// An event that ends a stream which broke off.
+// Returns the error event that ends an interrupted stream.
 std::string ErrorEvent(const Refusal& refusal);
 
-// A JSON string, with quotes; invalid UTF-8 is replaced.
+// Returns `text` as a quoted JSON string; invalid UTF-8 is replaced.
 std::string JsonString(std::string_view text);
 
 }  // namespace hingespan
--- a/include/hingespan/node/bearer_key.h
+++ b/include/hingespan/node/bearer_key.h
@@ -6,8 +6,8 @@
 
 namespace hingespan {
 
-// True when `key` is empty (none is asked for) or the header carries it. Takes the same time
-// wherever the first difference is.
+// Returns true if `key` is empty (no key is required) or the header carries it. The comparison runs
+// in constant time.
 bool HasBearerKey(std::string_view authorization, std::string_view key);
 
 }  // namespace hingespan
--- a/include/hingespan/node/call_lanes.h
+++ b/include/hingespan/node/call_lanes.h
@@ -1,5 +1,5 @@
-// Runs calls that block, some at once: calls of one lane run one after another, in order, so that a
-// slow lane holds back only itself.
+// Runs blocking calls on a bounded thread pool. The calls of one lane run in order, one at a time,
+// so that a slow lane delays only itself.
 #ifndef HINGESPAN_NODE_CALL_LANES_H_
 #define HINGESPAN_NODE_CALL_LANES_H_
 
@@ -15,9 +15,9 @@
 namespace hingespan {
 
 struct CallLanesOptions {
-  // Lanes that run at once.
+  // Lanes that run concurrently.
   std::size_t maximum_threads = 8;
-  // Calls that wait or run in one lane, and in all lanes together.
+  // Maximum number of waiting and running calls in one lane, and in all lanes together.
   std::size_t maximum_per_lane = 16;
   std::size_t maximum_calls = 512;
 };
@@ -31,11 +31,12 @@
   // Calls Shutdown.
   ~CallLanes();
 
-  // False, with nothing done, when the lane or all lanes together are full, or after Shutdown.
+  // Queues the call. Returns false without any effect if the lane is full, if all lanes together
+  // are full, or after Shutdown.
   bool TrySubmit(const std::string& lane, Call call) ABSL_LOCKS_EXCLUDED(mutex_);
-  // Runs what was taken, then ends all threads.
+  // Runs the calls that were accepted, then joins all threads.
   void Shutdown();
-  // Calls that wait or run.
+  // Returns the number of waiting and running calls.
   std::size_t pending() const ABSL_LOCKS_EXCLUDED(mutex_);
 
  private:
@@ -43,7 +44,7 @@
 
   const CallLanesOptions options_;
   mutable absl::Mutex mutex_;
-  // Calls of each lane that has any; the first one runs or is about to.
+  // Calls of each lane that has any. The first call of a lane is running or about to run.
   absl::flat_hash_map<std::string, std::deque<Call>> lanes_ ABSL_GUARDED_BY(mutex_);
   std::size_t calls_ ABSL_GUARDED_BY(mutex_) = 0;
   ThreadPool threads_;
--- a/include/hingespan/node/caller_answer.h
+++ b/include/hingespan/node/caller_answer.h
@@ -1,4 +1,4 @@
-// The answer to one caller, streamed as events or sent whole.
+// The answer to one caller, sent as an event stream or as a single body.
 #ifndef HINGESPAN_NODE_CALLER_ANSWER_H_
 #define HINGESPAN_NODE_CALLER_ANSWER_H_
 
@@ -19,43 +19,44 @@
 
 class DeadlineStream;
 
-// Not thread-safe; lives on the thread that serves the caller.
+// Not thread-safe: used only on the thread that serves the caller.
 class CallerAnswer {
  public:
   virtual ~CallerAnswer() = default;
 
-  // A new attempt begins: what an earlier one left is dropped. Never called once started().
+  // Begins a new attempt and discards the output of an earlier one. Must not be called once
+  // started().
   virtual void BeginAttempt(const AnswerIdentity& identity) = 0;
-  // A chunk of this node's engine; one whose wait is announced may be kept back until Flush. False:
-  // the caller takes no more.
+  // Adds a chunk from this node's engine. A chunk whose wait is announced may be buffered until
+  // Flush. Returns false if the caller accepts no more output.
   virtual bool AddChunk(const GenerationChunk& chunk) = 0;
-  // A piece of another node's answer, passed on as it is; may be kept back until Flush. False: the
-  // caller takes no more.
-  virtual bool PassOn(std::string_view piece) = 0;
-  // Sends what AddChunk and PassOn have kept back, so that pieces that came together cost one
+  // Adds a piece of another node's answer unchanged. It may be buffered until Flush. Returns false
+  // if the caller accepts no more output.
+  virtual bool Relay(std::string_view piece) = 0;
+  // Sends the output buffered by AddChunk and Relay, so that pieces that arrive together cost one
   // write.
   virtual void Flush() {}
-  // The attempt is complete.
+  // Ends the answer after a complete attempt.
   virtual void Complete() = 0;
-  // Ends the answer with a refusal, or with an error event when it has started.
+  // Ends the answer with a refusal, or with an error event if output has started.
   virtual void Refuse(const Refusal& refusal) = 0;
-  // Another node has ended the stream with its own error event.
-  virtual void EndedByOther() = 0;
+  // Ends the answer after another node ended the stream with an error event of its own.
+  virtual void EndAfterRemoteError() = 0;
 
-  // Something has reached the caller.
+  // Returns true if output has been sent to the caller.
   virtual bool started() const = 0;
-  // The caller has closed the connection, or does not take what is written.
+  // Returns true if the caller has closed the connection or a write to it has failed.
   virtual bool caller_gone() const = 0;
 };
 
-// `stream` is the caller's connection.
+// Create answers that write to `stream`, the caller's connection.
 std::unique_ptr<CallerAnswer> MakeStreamedAnswer(const httplib::Request& request,
                                                  const std::string& caller_request_id,
                                                  DeadlineStream* stream,
                                                  httplib::Response* response);
 std::unique_ptr<CallerAnswer> MakeWholeAnswer(DeadlineStream* stream, httplib::Response* response);
 
-// Fills a response with a refusal: status, body, and when to come back.
+// Fills a response with a refusal: status, body and Retry-After headers.
 void FillRefusal(const Refusal& refusal, httplib::Response* response);
 
 }  // namespace hingespan
--- a/include/hingespan/node/caller_request.h
+++ b/include/hingespan/node/caller_request.h
@@ -1,4 +1,4 @@
-// A caller's HTTP request as typed values, and every way in which it can be wrong.
+// Parses a caller's HTTP request into typed values and reports every kind of invalid input.
 #ifndef HINGESPAN_NODE_CALLER_REQUEST_H_
 #define HINGESPAN_NODE_CALLER_REQUEST_H_
 
@@ -15,7 +15,7 @@
 
 enum class CallKind { kChat, kCompletion };
 
-// Values of the headers that hingespan knows; nothing: the header is absent.
+// Values of the headers that hingespan reads; nullopt if a header is absent.
 struct CallerHeaders {
   std::optional<std::string> request_timeout_ms;
   std::optional<std::string> repeatable;
@@ -28,22 +28,22 @@
   CallKind kind = CallKind::kChat;
   ModelName model;
   bool stream = false;
-  // A streamed answer ends with a usage event.
+  // True if a streamed answer must end with a usage event.
   bool include_usage = false;
-  // What the engine gets: the caller's JSON, with the idempotency key in "metadata".
+  // Body sent to the engine: the caller's JSON, with the idempotency key in "metadata".
   std::string body;
-  // Of the first bytes of the prompt, for prefix affinity.
+  // Hash of the first bytes of the prompt, for prefix affinity.
   std::uint64_t prefix_hash = 0;
-  // Zero: not named by the caller.
+  // Time limit given by the caller; zero if none is given.
   absl::Duration timeout;
   bool repeatable = true;
   IdempotencyKey key;
   int priority = 0;
-  // The caller's own name for the request; empty: none.
+  // Request id given by the caller; empty if none is given.
   std::string caller_request_id;
 };
 
-// What is wrong with a request: a text for the caller and the parameter it is about.
+// A problem with a request: a message for the caller and the parameter at fault.
 struct CallerProblem {
   std::string message;
   std::string parameter;
@@ -54,13 +54,13 @@
   std::optional<CallerProblem> problem;
 };
 
-// Deepest nesting of the body's JSON.
+// Maximum nesting depth of the body's JSON.
 inline constexpr int kMaximumJsonDepth = 32;
 
 ParsedCallerRequest ParseCallerRequest(CallKind kind, std::string_view body,
                                        const CallerHeaders& headers);
 
-// A request id is 1 to `maximum` letters, digits and "._:~-".
+// Returns true if `text` is a request id: 1 to `maximum` letters, digits and "._:~-".
 bool IsRequestId(std::string_view text, std::size_t maximum);
 
 }  // namespace hingespan
--- a/include/hingespan/node/claim_ranges.h
+++ b/include/hingespan/node/claim_ranges.h
@@ -1,4 +1,4 @@
-// Pure choice of the key ranges whose ownership this node should extend now.
+// Selects the key ranges whose ownership this node should extend now. Does no I/O.
 #ifndef HINGESPAN_NODE_CLAIM_RANGES_H_
 #define HINGESPAN_NODE_CLAIM_RANGES_H_
 
@@ -19,15 +19,16 @@
   const std::vector<NodeId>* members = nullptr;
   const ClaimOptions* options = nullptr;
   const RecordStore* store = nullptr;
-  // Since this node's start.
+  // Time since this node started.
   absl::Duration running_for;
 };
 
-// The zone at home for a range: ranges go round the zones.
+// Returns the home zone of a range. Ranges are assigned to zones round-robin.
 ZoneId HomeZone(KeyRangeId range, const std::vector<ZoneId>& zones);
 
-// Ranges at home in this zone whose duty this node holds; and ranges of other zones that nobody
-// extends any more (a zone is lost), once this node has run for a while.
+// Returns the ranges whose home is this zone and whose duty this node holds. After this node has
+// run for a while, also returns ranges of other zones that nobody extends any more because the zone
+// was lost.
 std::vector<KeyRangeId> RangesToExtend(const ClaimRangeDuties& duties, absl::Time wall_time);
 
 }  // namespace hingespan
--- a/include/hingespan/node/core_driver.h
+++ b/include/hingespan/node/core_driver.h
@@ -1,5 +1,5 @@
-// Drives a NodeCore in a process: time, datagrams, calls to engines and platform, and the threads
-// that serve callers. One lock guards the core; it is never held during a call that blocks.
+// Drives a NodeCore in a process: timer, datagrams, calls to engines and platform, and the threads
+// that serve callers. One lock guards the core; it is never held during a blocking call.
 #ifndef HINGESPAN_NODE_CORE_DRIVER_H_
 #define HINGESPAN_NODE_CORE_DRIVER_H_
 
@@ -27,19 +27,20 @@
 
 struct CoreDriverOptions {
   absl::Duration tick_interval = absl::Milliseconds(20);
-  // Between ticks while no request is here and none is known to wait on this node's duties.
+  // Tick interval while this node has no requests and knows of none that depend on its duties.
   absl::Duration idle_tick_interval = absl::Milliseconds(60);
-  // A node counts as busy for this long after a message that a request may wait for.
+  // Time for which the node uses the short tick interval after a message that a request may depend
+  // on.
   absl::Duration busy_hold = absl::Seconds(2);
   absl::Duration engine_timeout = absl::Seconds(2);
   absl::Duration platform_timeout = absl::Seconds(2);
   CallLanesOptions engine_lanes;
   CallLanesOptions platform_lanes;
-  // Changes asked for in one read of the table service.
+  // Maximum number of changes requested in one read of the table service.
   int changes_per_read = 512;
 };
 
-// What the driver works with; all of it must outlive the driver.
+// Dependencies of the driver. All of them must outlive it.
 struct CoreDriverParts {
   EngineClient* engines = nullptr;
   TableService* table = nullptr;
@@ -53,9 +54,9 @@
   std::uint64_t engine_call_failures = 0;
   std::uint64_t platform_calls = 0;
   std::uint64_t platform_call_failures = 0;
-  // Calls answered "unavailable", since too many waited.
+  // Calls failed with kUnavailable because too many were waiting.
   std::uint64_t calls_rejected = 0;
-  // Messages to nodes whose address is not known.
+  // Messages dropped because the address of the receiver is unknown.
   std::uint64_t messages_without_address = 0;
 };
 
@@ -68,12 +69,13 @@
   CoreDriver(const CoreDriver&) = delete;
   CoreDriver& operator=(const CoreDriver&) = delete;
 
-  // Starts the transport's receiving and the timer.
+  // Starts the transport's receiver and the timer.
   void Start();
-  // Ends both and waits for calls under way.
+  // Stops the transport and the timer and waits for calls in flight.
   void Stop();
 
-  // Routes a request. Its decisions come to the result; Forget must be called at its end.
+  // Routes a request. Its decisions are delivered to the result. Forget must be called when the
+  // request ends.
   std::shared_ptr<PendingRequest> Submit(const RouteRequest& request) ABSL_LOCKS_EXCLUDED(mutex_);
   void Finish(const RequestId& request, AttemptOutcome outcome) ABSL_LOCKS_EXCLUDED(mutex_);
   void Cancel(const RequestId& request) ABSL_LOCKS_EXCLUDED(mutex_);
@@ -82,21 +84,23 @@
   void BeginStop() ABSL_LOCKS_EXCLUDED(mutex_);
   bool StopComplete() const ABSL_LOCKS_EXCLUDED(mutex_);
   bool Ready() const ABSL_LOCKS_EXCLUDED(mutex_);
-  // Looks at the core under the lock; `look` must be short.
+  // Calls `look` with the core under the lock; `look` must return quickly.
   void Inspect(const std::function<void(const NodeCore&, absl::Time now)>& look) const
       ABSL_LOCKS_EXCLUDED(mutex_);
 
   CoreDriverCounters counters() const ABSL_LOCKS_EXCLUDED(mutex_);
 
  private:
-  // A step of the core under the lock, then what it wants done.
+  // A step of the core. RunStep runs it under the lock and then carries out what the core put into
+  // the outbox.
   using Step = std::function<void(absl::Time now, absl::Time wall_time, Outbox* outbox)>;
-  void Take(const Step& step) ABSL_LOCKS_EXCLUDED(mutex_);
+  void RunStep(const Step& step) ABSL_LOCKS_EXCLUDED(mutex_);
   void DeliverDecisions() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_);
-  // Resolves addresses; messages without one are dropped.
+  // Fills in the address of each message. Messages whose receiver is unknown keep an empty address
+  // and are dropped.
   void ResolveAddresses(Outbox* outbox) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_);
   void StartCalls(const Outbox& outbox) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_);
-  // Calls that found no room are answered "unavailable" at the next tick.
+  // Answers calls that could not be queued with kUnavailable, at the next tick.
   void AnswerRejectedCalls(absl::Time now, absl::Time wall_time, Outbox* outbox)
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_);
   void SendMessages(std::vector<OutgoingMessage> messages);
--- a/include/hingespan/node/core_options.h
+++ b/include/hingespan/node/core_options.h
@@ -1,4 +1,4 @@
-// Options of a node's coordination core.
+// Options of a node's core.
 #ifndef HINGESPAN_NODE_CORE_OPTIONS_H_
 #define HINGESPAN_NODE_CORE_OPTIONS_H_
 
@@ -24,11 +24,11 @@
   NodeId node;
   NodeIncarnation incarnation;
   ZoneId zone;
-  // All zones of the deployment, sorted; must hold `zone`.
+  // All zones of the deployment, sorted; must contain `zone`.
   std::vector<ZoneId> zones;
   std::string control_address;
   std::string http_address;
-  // Control addresses of nodes of the zone to join through.
+  // Control addresses of nodes of the zone through which this node joins.
   std::vector<std::string> seeds;
   MembershipOptions membership;
   RecordSyncOptions record_sync;
@@ -36,11 +36,12 @@
   GrantOptions grant;
   KeeperOptions keeper;
   PlacerOptions placer;
-  // The deployment's budget of the weight store; used when keeper.use_permits.
+  // Load permits from the deployment's budget of the weight store. Used only with
+  // keeper.use_permits.
   PermitOptions permits;
   DirectoryOptions directory;
   RouterOptions router;
-  // How often the zone's reader reads the platform's machine list.
+  // Interval at which the zone's reader reads the platform's machine list.
   absl::Duration machine_list_interval = absl::Seconds(2);
   std::uint64_t random_seed = 1;
 };
--- a/include/hingespan/node/daemon.h
+++ b/include/hingespan/node/daemon.h
@@ -1,5 +1,5 @@
-// One hingespan node as a process: builds the parts from settings, runs them, and stops them in
-// order.
+// One hingespan node as a process: creates the parts from the settings, runs them, and stops them
+// in order.
 #ifndef HINGESPAN_NODE_DAEMON_H_
 #define HINGESPAN_NODE_DAEMON_H_
 
@@ -14,34 +14,37 @@
 namespace hingespan {
 
 struct DaemonAddresses {
-  // "ip:port" with the ports that the kernel picked.
+  // Addresses as "ip:port", with the ports that the kernel assigned.
   std::string http;
   std::string control;
 };
 
-// Start and the waits belong to one thread; BeginStop and StopNow are thread-safe.
+// Start and Run must be called on one thread. BeginStop and StopNow are thread-safe.
 class Daemon {
  public:
   explicit Daemon(NodeSettings settings);
-  // Stops at once if still running.
+  // Stops immediately if the node is still running.
   ~Daemon();
 
-  // Binds, then serves. Errors: kPermissionDenied (other than loopback without TLS and cluster
-  // key), kInvalidArgument, kUnavailable (an address is taken).
+  // Binds the listening addresses, then serves. Errors: kPermissionDenied (an address is not
+  // loopback, and TLS or the cluster key is missing), kInvalidArgument, kUnavailable (an address is
+  // in use).
   Result<DaemonAddresses> Start();
-  // Begins the planned stop. Later calls change nothing.
+  // Begins the planned stop. Has no effect if it has already begun.
   void BeginStop();
-  // Makes Run end at once.
+  // Makes Run return immediately.
   void StopNow();
-  // Blocks until a stop has ended: planned, within the settings' stop timeout, or at once.
-  // `on_ready` is called once, when callers may be sent here. False: requests were cut off.
+  // Blocks until a stop has ended: a planned stop, within the stop timeout of the settings, or an
+  // immediate one. Calls `on_ready` once, when the node is ready for callers. Returns false if
+  // requests were cut off.
   bool Run(const std::function<void()>& on_ready);
 
  private:
   struct Parts;
 
   Result<DaemonAddresses> Bind();
-  // Waits until all requests have ended and the hand-over is announced.
+  // Waits until all requests have ended and the hand-over is announced. Returns false if the stop
+  // timeout ran out or StopNow was called.
   bool WaitForStop();
   void Announce(bool leaving);
 
--- a/include/hingespan/node/forward_token.h
+++ b/include/hingespan/node/forward_token.h
@@ -1,4 +1,4 @@
-// Proof, in a header, that a request was forwarded by a node of this deployment.
+// Header token that proves that a node of this deployment forwarded the request.
 #ifndef HINGESPAN_NODE_FORWARD_TOKEN_H_
 #define HINGESPAN_NODE_FORWARD_TOKEN_H_
 
@@ -11,10 +11,11 @@
 
 inline constexpr char kForwardedHeader[] = "X-Hingespan-Forwarded";
 
-// "<milliseconds since 1970>:<signature in hexadecimal>", or "1" without a cluster key.
+// Returns "<milliseconds since the Unix epoch>:<hexadecimal signature>", or "1" without a cluster
+// key.
 std::string MakeForwardToken(std::string_view cluster_key, std::string_view request_id,
                              absl::Time wall_time);
-// Whether the token fits the request and was made about now.
+// Returns true if the token is valid for the request and its timestamp is recent.
 bool CheckForwardToken(std::string_view cluster_key, std::string_view request_id,
                        std::string_view token, absl::Time wall_time);
 
--- a/include/hingespan/node/leave_gossip.h
+++ b/include/hingespan/node/leave_gossip.h
@@ -1,5 +1,4 @@
-// Passes the word that a worker leaves or is gone from node to node of a zone, so that it gets
-// around although many messages are lost.
+// Gossip protocol that spreads a worker's leave among the nodes of a zone despite message loss.
 #ifndef HINGESPAN_NODE_LEAVE_GOSSIP_H_
 #define HINGESPAN_NODE_LEAVE_GOSSIP_H_
 
@@ -15,13 +14,13 @@
 
 namespace hingespan {
 
-// Not thread-safe. Each node that learns of a leave tells a few peers, picked anew in each round,
-// for a number of rounds; so each peer is told by many.
+// Each node that learns of a leave sends it to a few peers, chosen at random in each round, for a
+// fixed number of rounds, so that each peer receives it several times. Not thread-safe.
 class LeaveGossip {
  public:
   explicit LeaveGossip(std::uint64_t seed) : random_(seed) {}
 
-  // What this node holds of the worker from now on. A live one is not spoken of.
+  // Records the state of a worker that this node has learned. A live worker is not gossiped.
   void Note(const WorkerMachine& machine);
   void Tick(const std::vector<NodeId>& peers, absl::Time now, Outbox* outbox);
 
--- a/include/hingespan/node/machine_announcer.h
+++ b/include/hingespan/node/machine_announcer.h
@@ -1,5 +1,5 @@
-// Tells the platform's machine list of this node: again and again until it was taken, and when it
-// leaves.
+// Announces this node to the platform's machine list. Repeats an announcement until the platform
+// accepts it, and announces the node's leave.
 #ifndef HINGESPAN_NODE_MACHINE_ANNOUNCER_H_
 #define HINGESPAN_NODE_MACHINE_ANNOUNCER_H_
 
@@ -13,38 +13,41 @@
 
 struct MachineAnnouncerOptions {
   absl::Duration timeout = absl::Seconds(2);
-  // Pause after a failed call.
+  // Delay after a failed call.
   absl::Duration retry_after = absl::Seconds(1);
-  // A taken announcement is repeated this often, in case the platform has lost it.
+  // Interval at which an accepted announcement is repeated, in case the platform has lost it.
   absl::Duration repeat_after = absl::Minutes(1);
 };
 
 // Thread-safe.
 class MachineAnnouncer {
  public:
-  // `machines` must outlive this.
+  // `machines` must outlive this object.
   MachineAnnouncer(MachineAnnouncerOptions options, MachineList* machines);
   // Calls Stop.
   ~MachineAnnouncer();
 
-  // What to announce from now on.
+  // Sets the machine to announce from now on.
   void Set(const NodeMachine& machine) ABSL_LOCKS_EXCLUDED(mutex_);
-  // Waits up to `limit` until the latest machine was taken.
-  bool WaitTaken(absl::Duration limit) ABSL_LOCKS_EXCLUDED(mutex_);
+  // Waits up to `limit` until the platform has accepted the latest announcement. Returns false at
+  // the limit.
+  bool WaitAccepted(absl::Duration limit) ABSL_LOCKS_EXCLUDED(mutex_);
   void Stop() ABSL_LOCKS_EXCLUDED(mutex_);
 
  private:
   void Run() ABSL_LOCKS_EXCLUDED(mutex_);
-  bool HasNews() const ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) { return stopped_ || news_; }
-  bool Taken() const ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) { return taken_; }
+  bool HasWork() const ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
+    return stopped_ || announce_pending_;
+  }
+  bool Accepted() const ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) { return accepted_; }
 
   const MachineAnnouncerOptions options_;
   MachineList* const machines_;
   absl::Mutex mutex_;
   NodeMachine machine_ ABSL_GUARDED_BY(mutex_);
-  // `machine_` was set and not announced yet.
-  bool news_ ABSL_GUARDED_BY(mutex_) = false;
-  bool taken_ ABSL_GUARDED_BY(mutex_) = false;
+  // True if `machine_` was set and has not been announced yet.
+  bool announce_pending_ ABSL_GUARDED_BY(mutex_) = false;
+  bool accepted_ ABSL_GUARDED_BY(mutex_) = false;
   bool stopped_ ABSL_GUARDED_BY(mutex_) = false;
   std::thread thread_;
 };
--- a/include/hingespan/node/machine_list_parts.h
+++ b/include/hingespan/node/machine_list_parts.h
@@ -1,5 +1,5 @@
-// Cuts a machine list into messages that fit one datagram each, and names the model of a record
-// key.
+// Splits a machine list into messages that fit into one datagram each, and parses the model name of
+// a record key.
 #ifndef HINGESPAN_NODE_MACHINE_LIST_PARTS_H_
 #define HINGESPAN_NODE_MACHINE_LIST_PARTS_H_
 
@@ -12,10 +12,10 @@
 
 namespace hingespan {
 
-// No parts for an empty list.
+// Splits the list. Returns no parts for an empty list.
 std::vector<MachineListUpdate> SplitMachineList(const MachineListUpdate& list);
 
-// The model of a "rows/..." or "grants/..." key; nothing for other keys.
+// Returns the model of a "rows/..." or "grants/..." key, or nullopt for any other key.
 std::optional<ModelName> ModelOfKey(const std::string& key);
 
 }  // namespace hingespan
--- a/include/hingespan/node/method_refusals.h
+++ b/include/hingespan/node/method_refusals.h
@@ -1,4 +1,4 @@
-// Answers 405 with `Allow` on paths that are served by other methods.
+// Answers 405 with an `Allow` header if a path does not support the method.
 #ifndef HINGESPAN_NODE_METHOD_REFUSALS_H_
 #define HINGESPAN_NODE_METHOD_REFUSALS_H_
 
@@ -10,10 +10,10 @@
 
 namespace hingespan {
 
-// Methods that a path is served by.
+// Methods that a path supports.
 enum class ServedMethods { kGet, kPost };
 
-// `path` as given to the server's own routes.
+// Registers the answers. `path` is the pattern given to the server's own routes.
 void RefuseOtherMethods(const std::string& path, ServedMethods served, httplib::Server* server);
 
 }  // namespace hingespan
--- a/include/hingespan/node/node_core.h
+++ b/include/hingespan/node/node_core.h
@@ -1,5 +1,5 @@
-// All coordination of one node as one pure state machine: the daemon, hollow nodes and tests drive
-// the same code with their own clock, transport, platform and engines.
+// All coordination of one node as a state machine without I/O. The daemon, hollow nodes and tests
+// run the same code, each with its own clock, transport, platform and engines.
 #ifndef HINGESPAN_NODE_NODE_CORE_H_
 #define HINGESPAN_NODE_NODE_CORE_H_
 
@@ -36,7 +36,7 @@
   explicit NodeCore(CoreOptions options);
   ~NodeCore();
 
-  // Time passes; to be called about every 20 ms, and soon after a Submit.
+  // Advances timers. Must be called about every 20 ms, and soon after a Submit.
   void Tick(absl::Time now, absl::Time wall_time, Outbox* outbox);
   void HandleMessage(const Envelope& envelope, absl::Time now, absl::Time wall_time,
                      Outbox* outbox);
@@ -45,24 +45,25 @@
   void HandlePlatformAnswer(const PlatformAnswer& answer, absl::Time now, absl::Time wall_time,
                             Outbox* outbox);
 
-  // The caller-facing side; see RequestRouter.
+  // Requests of callers; see RequestRouter.
   void Submit(const RouteRequest& request, absl::Time now, absl::Time wall_time, Outbox* outbox);
   void OnFinished(const RequestId& request, AttemptOutcome outcome, absl::Time now,
                   absl::Time wall_time, Outbox* outbox);
   void Cancel(const RequestId& request);
   std::vector<RouteDecision> TakeDecisions();
 
-  // Planned stop: duties and claims are handed over, requests in progress go on, new ones are
-  // refused. `StopComplete` once nothing runs and the hand-over is announced.
+  // Begins the planned stop: duties and claims are handed over, requests in progress go on, and new
+  // ones are refused. StopComplete returns true once nothing runs and the hand-over is announced.
   void BeginStop(absl::Time now, absl::Time wall_time, Outbox* outbox);
   bool StopComplete(absl::Time now) const;
 
-  // Caught up and joined: callers may be sent here.
+  // Returns true if the node has joined, its table is up to date, and it is not stopping, so that
+  // callers may be sent to it.
   bool Ready() const;
-  // The control address of a node, in this or another zone; empty when unknown.
+  // Returns the control address of a node of this or another zone; empty if unknown.
   std::string AddressOf(const NodeId& node) const;
 
-  // For status pages and tests.
+  // Accessors for status pages and tests.
   const Membership& membership() const { return *membership_; }
   const RecordStore& store() const { return store_; }
   const ReplicaDirectory& directory() const { return *directory_; }
@@ -72,20 +73,21 @@
   bool is_permit_holder() const { return permit_holder_ == options_.node; }
   const CoreOptions& options() const { return options_; }
   std::vector<WorkerId> kept_workers() const;
-  // See RecordSync.
+  // Records that could not be decoded; see RecordSync.
   std::uint64_t undecoded_records() const { return record_sync_->undecoded_count(); }
   std::vector<UndecodedRecord> TakeUndecodedRecords() { return record_sync_->TakeUndecoded(); }
-  // Why a model is where it is: its row, slots, replicas and the queue here, as plain lines.
+  // Explains in text lines where a model runs and why: its row, slots, replicas and the queue on
+  // this node.
   std::vector<std::string> Explain(const ModelName& model, absl::Time now) const;
 
  private:
   struct KeeperEntry {
-    // Tells answers to an earlier keeper of the same worker from answers to this one.
+    // Distinguishes answers for this keeper from answers for an earlier keeper of the same worker.
     std::uint64_t instance = 0;
     std::unique_ptr<WorkerKeeper> keeper;
   };
-  // Who says what the machine list holds: the platform to this node, the zone's reader, which reads
-  // it often, or another node, whose word may be late.
+  // Source of a machine list update: the platform, read by this node itself; the zone's reader,
+  // which reads the list often; or another node, whose state may be outdated.
   enum class MachineSource { kPlatform, kReader, kPeer };
   struct PendingEngineCall {
     std::uint64_t keeper_instance = 0;
@@ -100,7 +102,7 @@
   void AdvanceStop(absl::Time now, absl::Time wall_time, Outbox* outbox);
   void DispatchMessage(const Envelope& envelope, absl::Time now, absl::Time wall_time,
                        Outbox* outbox);
-  // Messages to this node itself are handled at once instead of sent.
+  // Handles messages addressed to this node directly instead of sending them.
   void DeliverLocalMessages(absl::Time now, absl::Time wall_time, Outbox* outbox);
   void On(const Envelope& envelope, const Probe& message, absl::Time now, absl::Time wall_time,
           Outbox* outbox);
@@ -168,21 +170,22 @@
   bool ShouldKeep(const WorkerId& worker) const;
   void ReadMachines(absl::Time now, Outbox* outbox);
   void HandleMachineListing(const PlatformAnswer& answer, absl::Time now, Outbox* outbox);
-  // Returns what was news.
+  // Returns the entries that changed.
   MachineListUpdate UpdateMachines(const MachineListUpdate& update, MachineSource source,
                                    absl::Time now);
   bool UpdateWorker(const WorkerMachine& machine, MachineSource source, absl::Time now);
-  // Whether what is held of the worker may give way to `machine`.
+  // Returns true if `machine` may replace `held`, the known state of the worker.
   bool MayReplace(const WorkerMachine& held, const WorkerMachine& machine, MachineSource source,
                   absl::Time now) const;
-  // Whether the platform told this node lately that it took a leave back, so that late words of
-  // that leave may still be under way.
-  bool TakenBackLately(const WorkerId& worker, absl::Time now) const;
-  // A leave that a keeper reports is kept like one of the machine list: a next keeper may not know.
+  // Returns true if this node recently read from the platform that the worker's leave was
+  // withdrawn, so that outdated messages about that leave may still arrive.
+  bool LeaveRecentlyWithdrawn(const WorkerId& worker, absl::Time now) const;
+  // Stores a leave reported by a keeper like one read from the machine list, because the worker's
+  // next keeper may not know of it.
   void NoteReportedLeave(const WorkerId& worker, absl::Time now);
   WorkerIncarnation ReportedIncarnation(const WorkerId& worker) const;
-  // Adds the zone's workers that leave or are gone, but for those it holds already.
-  void AddWorkersNotLive(MachineListUpdate* update) const;
+  // Adds the zone's workers that are leaving or gone and that `update` does not contain.
+  void AddNonLiveWorkers(MachineListUpdate* update) const;
   std::vector<RemoteNode> RemoteNodes() const;
   std::vector<NodeId> OtherZoneNodes() const;
   ZoneNodes OtherZones() const;
@@ -191,12 +194,13 @@
   NodeId KeeperOf(const WorkerId& worker) const;
   NodeId PlacerOf(const ModelName& model) const;
   bool IsPlacerOf(const ModelName& model) const;
-  std::vector<KeyRangeId> MyClaimRanges(absl::Time now, absl::Time wall_time) const;
-  // Gives the engine calls from `first_call` on numbers that are unique over all keepers.
+  std::vector<KeyRangeId> ClaimRangesToExtend(absl::Time now, absl::Time wall_time) const;
+  // Replaces the ids of the engine calls from `first_call` on by ids that are unique among all
+  // keepers.
   void NumberEngineCalls(std::uint64_t keeper_instance, std::size_t first_call, Outbox* outbox);
-  // Tells this node's own directory what its keeper announced to the zone.
-  void AbsorbLocalUpdates(WorkerKeeper* keeper, absl::Time now, Outbox* outbox);
-  // One message to each peer for all workers kept here.
+  // Applies the updates that a local keeper announced to the zone to this node's own directory.
+  void ApplyLocalUpdates(WorkerKeeper* keeper, absl::Time now, Outbox* outbox);
+  // Sends one message with all workers kept by this node to each peer.
   void SendHeartbeats(absl::Time now, Outbox* outbox);
   void AddChanged(std::vector<ModelName> models);
   void NotifyRouter(absl::Time now, absl::Time wall_time, Outbox* outbox);
@@ -216,12 +220,12 @@
   LeaveGossip leave_gossip_;
   absl::btree_map<WorkerId, KeeperEntry> keepers_;
   absl::btree_map<WorkerId, WorkerMachine> workers_;
-  // The incarnation that was reported of a worker when it stopped being live; 0 when none was.
+  // Incarnation reported for a worker when it stopped being live; 0 if none was reported.
   absl::flat_hash_map<WorkerId, WorkerIncarnation> left_incarnations_;
-  // When this node read that the platform took a worker's leave back.
-  absl::flat_hash_map<WorkerId, absl::Time> leaves_taken_back_;
+  // Time at which this node read from the platform that a worker's leave was withdrawn.
+  absl::flat_hash_map<WorkerId, absl::Time> withdrawn_leaves_;
   absl::btree_map<NodeId, NodeMachine> machines_;
-  // Live machines of other zones; follows `machines_`.
+  // Live nodes of other zones, derived from `machines_`.
   std::vector<NodeId> other_zone_nodes_;
   ZoneNodes other_zones_;
   absl::flat_hash_map<std::uint64_t, PendingEngineCall> engine_calls_;
@@ -229,11 +233,11 @@
   std::uint64_t next_keeper_instance_ = 1;
   std::uint64_t next_engine_call_ = 1;
   std::uint64_t next_call_ = 1;
-  // The newest machine list call that was answered.
+  // Id of the latest machine list call that was answered.
   std::uint64_t machines_answered_ = 0;
   std::uint64_t duties_version_ = 0;
   bool workers_changed_ = false;
-  // Holders of the zone's own duties in the present view.
+  // Holders of the zone-wide duties in the current membership view.
   NodeId platform_reader_;
   NodeId permit_holder_;
   absl::Time next_heartbeat_ = absl::InfinitePast();
--- a/include/hingespan/node/node_metrics.h
+++ b/include/hingespan/node/node_metrics.h
@@ -1,4 +1,4 @@
-// Counters and gauges of a node, in Prometheus' text format.
+// Counters and gauges of a node, in the Prometheus text format.
 #ifndef HINGESPAN_NODE_NODE_METRICS_H_
 #define HINGESPAN_NODE_NODE_METRICS_H_
 
@@ -13,7 +13,7 @@
 
 namespace hingespan {
 
-// What is read off the node's parts when the metrics are asked for.
+// Parts of the node whose values are read on each scrape.
 struct NodeMetricsSources {
   const CoreDriver* driver = nullptr;
   const UdpTransport* transport = nullptr;
@@ -26,15 +26,16 @@
   NodeMetrics();
   ~NodeMetrics();
 
-  // A request ended: "complete", a refusal's code, or "caller_gone".
+  // Counts a request that ended with the outcome "complete", "caller_gone" or the code of a
+  // refusal.
   void CountRequest(std::string_view outcome);
-  // From arrival until the first token reached the caller.
+  // Records the time from arrival until the first token was sent to the caller.
   void ObserveFirstToken(absl::Duration duration);
-  // From arrival until the router's first decision.
+  // Records the time from arrival until the router's first decision.
   void ObserveWait(absl::Duration duration);
   void CountTokens(std::uint64_t tokens);
 
-  // All metrics as text.
+  // Returns all metrics as text.
   std::string Text(const NodeMetricsSources& sources);
 
  private:
--- a/include/hingespan/node/pending_request.h
+++ b/include/hingespan/node/pending_request.h
@@ -1,4 +1,4 @@
-// Hands the router's decisions about one request to the thread that serves its caller.
+// Passes the router's decisions about one request to the thread that serves its caller.
 #ifndef HINGESPAN_NODE_PENDING_REQUEST_H_
 #define HINGESPAN_NODE_PENDING_REQUEST_H_
 
@@ -16,8 +16,8 @@
 class PendingRequest {
  public:
   void Deliver(RouteDecision decision) ABSL_LOCKS_EXCLUDED(mutex_);
-  // The next decision; nothing when none came by `until` (an instant of Clock::Now), or when
-  // `gave_up`, asked now and then, said true.
+  // Returns the next decision, or nullopt if none arrives by `until` (a time of Clock::Now) or
+  // `gave_up`, which is polled, returns true.
   std::optional<RouteDecision> Wait(absl::Time until, const std::function<bool()>& gave_up)
       ABSL_LOCKS_EXCLUDED(mutex_);
 
--- a/include/hingespan/node/request_forwarder.h
+++ b/include/hingespan/node/request_forwarder.h
@@ -1,4 +1,4 @@
-// Sends a caller's request to a node of another zone and passes its answer through as it comes.
+// Forwards a caller's request to a node of another zone and streams its answer back.
 #ifndef HINGESPAN_NODE_REQUEST_FORWARDER_H_
 #define HINGESPAN_NODE_REQUEST_FORWARDER_H_
 
@@ -17,9 +17,9 @@
 
 struct RequestForwarderOptions {
   std::string cluster_key;
-  // Sent as the caller's key; empty: none.
+  // Key sent as the caller's key; empty if none is sent.
   std::string caller_key;
-  // Longest silence of a stream that has begun.
+  // Maximum time between two events of a stream that has begun.
   absl::Duration idle_limit = absl::Seconds(30);
   HttpClientOptions http;
 };
@@ -27,13 +27,13 @@
 struct ForwardedRequest {
   std::string address;
   RequestId request;
-  // Instant of Clock::Now; for streams, of the first event.
+  // Deadline as a time of Clock::Now. For streams it applies to the first event.
   absl::Time deadline;
 };
 
 struct ForwardResult {
   AttemptOutcome outcome = AttemptOutcome::kNotRun;
-  // Of kRefusedElsewhere: what the other node told, for the caller.
+  // Refusal received from the other node; set only for kRefusedElsewhere.
   Refusal refusal;
 };
 
@@ -44,7 +44,8 @@
  public:
   explicit RequestForwarder(RequestForwarderOptions options);
 
-  // Blocks until the answer has ended. `answer` is not completed or refused: that is the caller's.
+  // Forwards the request and blocks until the answer has ended. Does not complete or refuse
+  // `answer`; the caller of this function does.
   ForwardResult Forward(const ForwardedRequest& forwarded, const CallerRequest& request,
                         CallerAnswer* answer);
 
@@ -56,17 +57,18 @@
   HttpClientPool pool_;
 };
 
-// Follows a stream of events to tell how it ended. Not thread-safe.
+// Scans an event stream to determine how it ended. Not thread-safe.
 class EventStreamEnd {
  public:
   void Add(std::string_view piece);
-  // The latest whole event says that the answer is whole.
+  // Returns true if the latest complete event is the one that ends a complete answer.
   bool whole() const;
-  // The latest whole event is an error.
+  // Returns true if the latest complete event is an error.
   bool failed() const;
 
  private:
-  // The latest whole event, and the one that is not whole yet; only as much as tells them apart.
+  // Prefix of the latest complete event, and of the event that is still incomplete. Only the bytes
+  // needed to distinguish events are stored.
   std::string latest_;
   std::string partial_;
 };
--- a/include/hingespan/node/request_session.h
+++ b/include/hingespan/node/request_session.h
@@ -1,5 +1,5 @@
-// Serves one caller's request from its arrival to its end: asks the router, carries its decisions
-// out, and sees to it that the caller gets exactly one ending.
+// Serves one caller's request from arrival to end: submits it to the router, executes the router's
+// decisions, and ensures that the caller gets exactly one final result.
 #ifndef HINGESPAN_NODE_REQUEST_SESSION_H_
 #define HINGESPAN_NODE_REQUEST_SESSION_H_
 
@@ -16,7 +16,7 @@
 
 namespace hingespan {
 
-// What sessions work with; all of it outlives them.
+// Dependencies of a session. All of them must outlive it.
 struct SessionParts {
   CoreDriver* driver = nullptr;
   EngineClient* engines = nullptr;
@@ -28,35 +28,35 @@
   CallerRequest caller;
   // Unique among all nodes.
   RequestId id;
-  // Instants of Clock::Now.
+  // Times of Clock::Now.
   absl::Time arrival;
   absl::Time deadline;
   bool forwarded = false;
-  // Longest silence of a stream that has begun.
+  // Maximum time between two events of a stream that has begun.
   absl::Duration idle_limit = absl::Seconds(30);
 };
 
-// Not thread-safe; lives on the thread that serves the caller.
+// Not thread-safe: used only on the thread that serves the caller.
 class RequestSession {
  public:
   RequestSession(const SessionParts& parts, const SessionRequest& request, CallerAnswer* answer)
       : parts_(parts), request_(request), answer_(answer) {}
 
-  // Blocks until the caller has its answer or is gone.
+  // Blocks until the caller has received its answer or has disconnected.
   void Run();
 
  private:
-  // Carries a decision out. Nothing when the request has ended.
-  std::optional<AttemptOutcome> CarryOut(const RouteDecision& decision);
+  // Executes a decision. Returns nullopt if the request has ended.
+  std::optional<AttemptOutcome> Execute(const RouteDecision& decision);
   AttemptOutcome RunOnEngine(const RouteDecision& decision);
   AttemptOutcome Forward(const RouteDecision& decision);
   AttemptOutcome OutcomeOf(const GenerationResult& result) const;
   RouteRequest MakeRouteRequest() const;
   AnswerIdentity IdentityOf(const RequestId& attempt) const;
-  // No decision came in time, or the caller went away: ends the request at the router.
+  // Ends the request at the router because no decision arrived in time or the caller disconnected.
   void GiveUp(PendingRequest* pending);
-  // Another node has refused the request for good: passes its refusal on.
-  void RefuseAsElsewhere();
+  // Passes on the final refusal of another node.
+  void RelayRemoteRefusal();
   void Refuse(const Refusal& refusal);
   void End(std::string_view outcome);
 
@@ -64,10 +64,10 @@
   const SessionRequest& request_;
   CallerAnswer* const answer_;
   int attempts_ = 0;
-  // Some attempt failed that may have run.
+  // True if a failed attempt may have run.
   bool may_have_run_ = false;
-  // Of the latest forward that ended in kRefusedElsewhere.
-  Refusal refusal_elsewhere_;
+  // Refusal of the latest forward that ended with kRefusedElsewhere.
+  Refusal remote_refusal_;
   bool first_chunk_seen_ = false;
 };
 
--- a/include/hingespan/node/row_takeover.h
+++ b/include/hingespan/node/row_takeover.h
@@ -1,4 +1,4 @@
-// Finds the rows that this node places since the members changed, a bounded number a step.
+// Finds the rows that this node has to place after a change of members, a bounded number per step.
 #ifndef HINGESPAN_NODE_ROW_TAKEOVER_H_
 #define HINGESPAN_NODE_ROW_TAKEOVER_H_
 
@@ -12,14 +12,16 @@
 
 namespace hingespan {
 
-// Not thread-safe. Rows that change meanwhile are the caller's to look at.
+// Rows that change during the search are not reported; the caller must handle them. Not
+// thread-safe.
 class RowTakeover {
  public:
   RowTakeover(NodeId self, const RecordStore* store)
       : takeover_(Duty::kPlacer, std::move(self)), store_(store) {}
 
   void SetMembers(const std::vector<NodeId>& members);
-  // Goes on with the search: looks at about `keys_at_most` records.
+  // Continues the search: examines about `keys_at_most` records and calls `visit` for each row
+  // found.
   void Step(std::size_t keys_at_most, const std::function<void(const ModelName&)>& visit);
   bool searching() const { return searching_; }
 
@@ -27,7 +29,7 @@
   DutyTakeover takeover_;
   const RecordStore* store_;
   bool searching_ = false;
-  // Records up to this revision were looked at.
+  // Revision up to which records have been examined.
   TableRevision searched_;
 };
 
--- a/src/node/admin_front_end.cc
+++ b/src/node/admin_front_end.cc
@@ -16,7 +16,7 @@
 using Json = nlohmann::json;
 
 constexpr char kJsonType[] = "application/json";
-// For one call of the platform.
+// Timeout of one platform call.
 constexpr absl::Duration kPlatformTimeout = absl::Seconds(4);
 
 void Answer(int status, const Json& body, httplib::Response* response) {
--- a/src/node/answer_format.cc
+++ b/src/node/answer_format.cc
@@ -13,7 +13,7 @@
   return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-// Whether JSON may hold the character as it is.
+// Returns true if the character needs no escaping in JSON.
 bool IsPlain(char character) {
   const auto byte = static_cast<unsigned char>(character);
   return byte >= 0x20 && byte < 0x7F && character != '"' && character != '\\';
@@ -138,7 +138,7 @@
   }
   Refusal refusal;
   refusal.code = code;
-  // The request's key, if any, was not looked at.
+  // The request was not parsed, so nothing is known about its idempotency key.
   refusal.key = RunState::kMayHaveRun;
   refusal.detail = std::string(message);
   return RefusalBody(refusal);
--- a/src/node/call_lanes.cc
+++ b/src/node/call_lanes.cc
@@ -8,7 +8,7 @@
 ThreadPoolOptions LanePool(const CallLanesOptions& options) {
   ThreadPoolOptions pool;
   pool.maximum_threads = options.maximum_threads;
-  // Each lane is at most one task, and a lane with work holds at least one call.
+  // The pool queues at most one task per lane, and each lane with a task holds at least one call.
   pool.maximum_queue = options.maximum_calls;
   return pool;
 }
@@ -22,18 +22,18 @@
 bool CallLanes::TrySubmit(const std::string& lane, Call call) {
   absl::MutexLock lock(&mutex_);
   std::deque<Call>& calls = lanes_[lane];
-  const bool starts = calls.empty();
-  bool taken = calls.size() < options_.maximum_per_lane && calls_ < options_.maximum_calls;
-  if (taken && starts) {
-    taken = threads_.TrySubmit([this, lane] { RunLane(lane); });
+  const bool starts_lane = calls.empty();
+  bool accepted = calls.size() < options_.maximum_per_lane && calls_ < options_.maximum_calls;
+  if (accepted && starts_lane) {
+    accepted = threads_.TrySubmit([this, lane] { RunLane(lane); });
   }
-  if (taken) {
+  if (accepted) {
     calls.push_back(std::move(call));
     ++calls_;
-  } else if (starts) {
+  } else if (starts_lane) {
     lanes_.erase(lane);
   }
-  return taken;
+  return accepted;
 }
 
 void CallLanes::RunLane(const std::string& lane) {
--- a/src/node/caller_answer.cc
+++ b/src/node/caller_answer.cc
@@ -12,14 +12,15 @@
 namespace hingespan {
 namespace {
 
-// When to come back after a refusal of a request that did not run, if nothing better is known.
-constexpr absl::Duration kUnsaidRetryAfter = absl::Seconds(1);
+// Default Retry-After of a refused request that did not run.
+constexpr absl::Duration kDefaultRetryAfter = absl::Seconds(1);
 constexpr char kJsonType[] = "application/json";
 constexpr char kLastChunk[] = "0\r\n\r\n";
-// More events than this are not kept back.
-constexpr std::size_t kMaximumKeptBytes = 16 << 10;
+// Maximum number of bytes of events that are buffered.
+constexpr std::size_t kMaximumBufferedBytes = 16 << 10;
 
-// Writes events to the caller's connection as they come; cpp-httplib's own response is dropped.
+// Writes events to the caller's connection as they arrive. The response that cpp-httplib would send
+// itself is discarded.
 class StreamedAnswer : public CallerAnswer {
  public:
   StreamedAnswer(const httplib::Request& request, std::string caller_request_id,
@@ -48,12 +49,12 @@
       End();
       return !stream_->write_failed();
     }
-    return MayKeep(chunk.wait_is_announced) || Write();
+    return MayBuffer(chunk.wait_is_announced) || Write();
   }
 
-  bool PassOn(std::string_view piece) override {
+  bool Relay(std::string_view piece) override {
     events_.append(piece);
-    return MayKeep(true) || Write();
+    return MayBuffer(true) || Write();
   }
 
   void Flush() override { Write(); }
@@ -69,7 +70,7 @@
     End();
   }
 
-  void EndedByOther() override { End(); }
+  void EndAfterRemoteError() override { End(); }
 
   bool started() const override { return started_; }
   bool caller_gone() const override { return stream_->write_failed() || stream_->PeerClosed(); }
@@ -83,13 +84,15 @@
                     close_ || !chunked_ ? "Connection: close\r\n" : "", "\r\n");
   }
 
-  // The first events go out at once. Later ones may wait for others that have come already.
-  bool MayKeep(bool wait_is_announced) const {
+  // The first events are sent immediately. Later ones may be buffered together with others that
+  // have already arrived.
+  bool MayBuffer(bool wait_is_announced) const {
     return started_ && wait_is_announced && !stream_->write_failed() &&
-           events_.size() < kMaximumKeptBytes;
+           events_.size() < kMaximumBufferedBytes;
   }
 
-  // Appends the events as one piece of the body, after the head if nothing went out yet.
+  // Appends the events as one chunk of the body, after the response head if nothing has been sent
+  // yet.
   void MoveEvents(std::string* bytes) {
     if (events_.empty()) {
       return;
@@ -107,7 +110,8 @@
     events_.clear();
   }
 
-  // What there is goes out in one write, so that tokens that came together cost one call.
+  // Sends everything buffered in one write, so that tokens that arrive together cost one system
+  // call.
   bool Write() {
     bytes_.clear();
     MoveEvents(&bytes_);
@@ -129,7 +133,7 @@
     if (!chunked_) {
       shutdown(stream_->socket(), SHUT_WR);
     }
-    // What cpp-httplib would answer after the handler.
+    // Discards the response that cpp-httplib sends after the handler returns.
     stream_->set_discard_writes(true);
     response_->status = 200;
   }
@@ -143,13 +147,13 @@
   std::optional<AnswerFormat> format_;
   bool started_ = false;
   bool ended_ = false;
-  // Events that have not been written.
+  // Events that have not been written yet.
   std::string events_;
-  // Reused from write to write.
+  // Write buffer, reused between writes.
   std::string bytes_;
 };
 
-// Collects the answer and sends it once it is whole.
+// Collects the answer and sends it once it is complete.
 class WholeAnswer : public CallerAnswer {
  public:
   WholeAnswer(DeadlineStream* stream, httplib::Response* response)
@@ -159,7 +163,7 @@
     request_ = identity.request;
     format_.emplace(identity);
     text_.clear();
-    passed_on_ = false;
+    relayed_ = false;
   }
 
   bool AddChunk(const GenerationChunk& chunk) override {
@@ -168,20 +172,20 @@
     return true;
   }
 
-  bool PassOn(std::string_view piece) override {
+  bool Relay(std::string_view piece) override {
     text_.append(piece);
-    passed_on_ = true;
+    relayed_ = true;
     return true;
   }
 
   void Complete() override {
     response_->status = 200;
     response_->set_header("X-Hingespan-Request", request_.value());
-    response_->set_content(passed_on_ ? text_ : format_->WholeAnswer(text_, last_), kJsonType);
+    response_->set_content(relayed_ ? text_ : format_->WholeAnswer(text_, last_), kJsonType);
   }
 
   void Refuse(const Refusal& refusal) override { FillRefusal(refusal, response_); }
-  void EndedByOther() override {}
+  void EndAfterRemoteError() override {}
   bool started() const override { return false; }
   bool caller_gone() const override { return stream_->write_failed() || stream_->PeerClosed(); }
 
@@ -192,17 +196,17 @@
   std::optional<AnswerFormat> format_;
   std::string text_;
   GenerationChunk last_;
-  bool passed_on_ = false;
+  bool relayed_ = false;
 };
 
-// What the refusal says; if it says nothing, a moment, where coming back may help and can't lead
-// to a second run.
+// Returns the retry delay of the refusal. If it has none, returns a default where a retry may help
+// and can't lead to a second run.
 absl::Duration RetryAfterOf(const Refusal& refusal) {
   if (refusal.retry_after > absl::ZeroDuration()) {
     return refusal.retry_after;
   }
   const bool may_help = RetryMayHelp(refusal.code) && refusal.attempt == RunState::kNotRun;
-  return may_help ? kUnsaidRetryAfter : absl::ZeroDuration();
+  return may_help ? kDefaultRetryAfter : absl::ZeroDuration();
 }
 
 }  // namespace
--- a/src/node/caller_front_end.cc
+++ b/src/node/caller_front_end.cc
@@ -23,7 +23,7 @@
 constexpr char kJsonType[] = "application/json";
 constexpr char kTextType[] = "text/plain; version=0.0.4";
 constexpr char kRequestIdHeader[] = "X-Request-Id";
-// Names may hold slashes.
+// Model names may contain slashes.
 constexpr char kModelPath[] = "/v1/models/(.+)";
 constexpr int kDefaultModelLimit = 1000;
 constexpr int kMaximumModelLimit = 10000;
@@ -45,7 +45,7 @@
   return headers;
 }
 
-// The answer must not outgrow the caller's patience, nor the row's own limit.
+// A request waits no longer than its caller allows, and no longer than the limit of the row.
 absl::Duration ShorterWait(absl::Duration asked, absl::Duration row) {
   return asked > absl::ZeroDuration() ? std::min(asked, row) : row;
 }
@@ -119,7 +119,8 @@
                            request.get_header_value(kForwardedHeader), SystemClock().WallTime());
 }
 
-// The caller's own id may come twice, also at two nodes: what engines and claims see never does.
+// Callers may reuse their request ids, also at different nodes, so a unique suffix is added:
+// engines and claims never see the same id twice.
 RequestId CallerFrontEnd::NextRequestId(const std::string& caller_request_id) {
   const std::uint64_t number = next_request_++;
   const std::string own = absl::StrCat(options_.node.value(), "-",
--- a/src/node/caller_request.cc
+++ b/src/node/caller_request.cc
@@ -20,12 +20,13 @@
 constexpr std::size_t kMaximumRequestIdBytes = 200;
 constexpr std::int64_t kMaximumTimeoutMs = 24 * 60 * 60 * 1000;
 constexpr int kMaximumPriority = 10;
-// Bytes of a parser's message that are passed on: it may quote the body.
+// Maximum length of a JSON parser message that is passed on, because the message may quote the
+// body.
 constexpr std::size_t kMaximumReason = 200;
-// Bytes of the prompt that choose the replica.
+// Length of the prompt prefix that is hashed to select a replica.
 constexpr std::size_t kPrefixBytes = 512;
 
-// What is wrong with a text that is not JSON, and where.
+// Describes why a text is not valid JSON, and at which byte.
 std::string MalformedJson(std::string_view text) {
   try {
     const Json parsed = Json::parse(text);
@@ -40,7 +41,7 @@
   return "the body is not JSON";
 }
 
-// Collects the request; the first problem found stays.
+// Parses the request and keeps the first problem found.
 class Parser {
  public:
   Parser(CallKind kind, const CallerHeaders& headers) : headers_(headers) {
@@ -203,7 +204,7 @@
     }
   }
 
-  // The text that the answer follows from, for prefix affinity.
+  // Returns the text that the model is prompted with, for prefix affinity.
   std::string ParsePrompt(const Json& body) {
     if (parsed_.request.kind == CallKind::kCompletion) {
       const auto given = body.find("prompt");
@@ -246,7 +247,7 @@
     }
   }
 
-  // Passes the caller's text on unless the key must be added.
+  // Passes the caller's text on unchanged unless the idempotency key must be added.
   void FillBody(std::string_view text, Json* body) {
     if (parsed_.request.key.empty() || parsed_.problem.has_value()) {
       parsed_.request.body = std::string(text);
--- a/src/node/claim_ranges.cc
+++ b/src/node/claim_ranges.cc
@@ -7,9 +7,9 @@
 namespace hingespan {
 namespace {
 
-// A range of another zone is taken over when less than this part of the time ahead is left.
+// A range of another zone is taken over when less than this fraction of the ownership time remains.
 constexpr int kTakeOverDivisor = 4;
-// A node does not take over ranges of other zones before it has run for this long.
+// Time that a node must have run before it takes over ranges of other zones.
 constexpr absl::Duration kTakeOverAfter = absl::Seconds(10);
 
 bool HoldsRangeDuty(const ClaimRangeDuties& duties, KeyRangeId range) {
--- a/src/node/core_driver.cc
+++ b/src/node/core_driver.cc
@@ -11,7 +11,7 @@
 namespace hingespan {
 namespace {
 
-// Commits of one owner may go side by side; reads of one kind go one after another.
+// Commits of one owner may run in parallel. Reads of one kind run one at a time.
 std::string PlatformLane(const PlatformCall& call) {
   constexpr std::uint64_t kCommitLanes = 4;
   const int owner = static_cast<int>(call.owner);
@@ -21,7 +21,7 @@
   return absl::StrCat("read-", owner, "-", call.request.index());
 }
 
-// Messages that a request may wait for, here or at another node.
+// Returns true for messages that a request, here or at another node, may depend on.
 bool IsUrgent(const Message& message) {
   return std::holds_alternative<WakeRequest>(message) ||
          std::holds_alternative<LoadRequest>(message) ||
@@ -76,13 +76,13 @@
 
 void CoreDriver::Start() {
   parts_.transport->Start([this](const Envelope& envelope) {
-    Take([this, &envelope](absl::Time now, absl::Time wall_time, Outbox* outbox)
-             ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
-               if (IsUrgent(envelope.message)) {
-                 busy_until_ = now + options_.busy_hold;
-               }
-               core_.HandleMessage(envelope, now, wall_time, outbox);
-             });
+    RunStep([this, &envelope](absl::Time now, absl::Time wall_time, Outbox* outbox)
+                ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
+                  if (IsUrgent(envelope.message)) {
+                    busy_until_ = now + options_.busy_hold;
+                  }
+                  core_.HandleMessage(envelope, now, wall_time, outbox);
+                });
   });
   timer_ = std::thread([this] { RunTimer(); });
 }
@@ -110,11 +110,11 @@
       }
       ++counters_.ticks;
     }
-    Take([this](absl::Time now, absl::Time wall_time, Outbox* outbox)
-             ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
-               AnswerRejectedCalls(now, wall_time, outbox);
-               core_.Tick(now, wall_time, outbox);
-             });
+    RunStep([this](absl::Time now, absl::Time wall_time, Outbox* outbox)
+                ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
+                  AnswerRejectedCalls(now, wall_time, outbox);
+                  core_.Tick(now, wall_time, outbox);
+                });
   }
 }
 
@@ -123,7 +123,7 @@
   return busy ? options_.tick_interval : options_.idle_tick_interval;
 }
 
-void CoreDriver::Take(const Step& step) {
+void CoreDriver::RunStep(const Step& step) {
   Outbox outbox;
   {
     absl::MutexLock lock(&mutex_);
@@ -169,7 +169,8 @@
   }
 }
 
-// Under the lock, so that one worker's orders enter its lane in the order of their sequence.
+// Called under the lock, so that the orders of one worker are queued in the order of their sequence
+// numbers.
 void CoreDriver::StartCalls(const Outbox& outbox) {
   for (const EngineCall& call : outbox.engine_calls) {
     ++counters_.engine_calls;
@@ -218,11 +219,11 @@
   answer.call = call.call;
   answer.worker = call.worker;
   answer.result = AnswerEngineCall(call);
-  Take([this, &answer](absl::Time now, absl::Time wall_time, Outbox* outbox)
-           ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
-             counters_.engine_call_failures += answer.result.ok() ? 0 : 1;
-             core_.HandleEngineAnswer(answer, now, wall_time, outbox);
-           });
+  RunStep([this, &answer](absl::Time now, absl::Time wall_time, Outbox* outbox)
+              ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
+                counters_.engine_call_failures += answer.result.ok() ? 0 : 1;
+                core_.HandleEngineAnswer(answer, now, wall_time, outbox);
+              });
 }
 
 PlatformAnswer CoreDriver::AnswerPlatformCall(const PlatformCall& call) {
@@ -245,12 +246,12 @@
 void CoreDriver::RunPlatformCall(const PlatformCall& call) {
   const PlatformAnswer answer = AnswerPlatformCall(call);
   std::vector<UndecodedRecord> undecoded;
-  Take([this, &answer, &undecoded](absl::Time now, absl::Time wall_time, Outbox* outbox)
-           ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
-             counters_.platform_call_failures += answer.error ? 1 : 0;
-             core_.HandlePlatformAnswer(answer, now, wall_time, outbox);
-             undecoded = core_.TakeUndecodedRecords();
-           });
+  RunStep([this, &answer, &undecoded](absl::Time now, absl::Time wall_time, Outbox* outbox)
+              ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
+                counters_.platform_call_failures += answer.error ? 1 : 0;
+                core_.HandlePlatformAnswer(answer, now, wall_time, outbox);
+                undecoded = core_.TakeUndecodedRecords();
+              });
   for (const UndecodedRecord& record : undecoded) {
     Log(LogLevel::kWarning, "record_not_decoded",
         {{"key", record.key}, {"revision", absl::StrCat(record.revision.value())}});
@@ -259,24 +260,24 @@
 
 std::shared_ptr<PendingRequest> CoreDriver::Submit(const RouteRequest& request) {
   auto pending = std::make_shared<PendingRequest>();
-  Take([this, &request, &pending](absl::Time now, absl::Time wall_time, Outbox* outbox)
-           ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
-             pending_[request.request] = pending;
-             core_.Submit(request, now, wall_time, outbox);
-           });
+  RunStep([this, &request, &pending](absl::Time now, absl::Time wall_time, Outbox* outbox)
+              ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
+                pending_[request.request] = pending;
+                core_.Submit(request, now, wall_time, outbox);
+              });
   return pending;
 }
 
 void CoreDriver::Finish(const RequestId& request, AttemptOutcome outcome) {
-  Take([this, &request, outcome](absl::Time now, absl::Time wall_time, Outbox* outbox)
-           ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
-             core_.OnFinished(request, outcome, now, wall_time, outbox);
-           });
+  RunStep([this, &request, outcome](absl::Time now, absl::Time wall_time, Outbox* outbox)
+              ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
+                core_.OnFinished(request, outcome, now, wall_time, outbox);
+              });
 }
 
 void CoreDriver::Cancel(const RequestId& request) {
-  Take([this, &request](absl::Time, absl::Time, Outbox*)
-           ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) { core_.Cancel(request); });
+  RunStep([this, &request](absl::Time, absl::Time, Outbox*)
+              ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) { core_.Cancel(request); });
 }
 
 void CoreDriver::Forget(const RequestId& request) {
@@ -285,8 +286,8 @@
 }
 
 void CoreDriver::BeginStop() {
-  Take([this](absl::Time now, absl::Time wall_time, Outbox* outbox)
-           ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) { core_.BeginStop(now, wall_time, outbox); });
+  RunStep([this](absl::Time now, absl::Time wall_time, Outbox* outbox)
+              ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) { core_.BeginStop(now, wall_time, outbox); });
 }
 
 bool CoreDriver::StopComplete() const {
--- a/src/node/daemon.cc
+++ b/src/node/daemon.cc
@@ -22,9 +22,9 @@
 namespace hingespan {
 namespace {
 
-// How often Run looks whether the node is ready or has stopped.
+// Interval at which Run checks whether the node is ready or has stopped.
 constexpr absl::Duration kWatchInterval = absl::Milliseconds(20);
-// Beyond the send timeout: connections look at a stop now and then, and linger after an answer.
+// Added to the send timeout, because connections poll for a stop and linger after an answer.
 constexpr absl::Duration kStopSlack = absl::Seconds(1);
 constexpr absl::Duration kLeaveAnnouncement = absl::Seconds(1);
 
@@ -82,7 +82,8 @@
   return options;
 }
 
-// Callers' requests, operators' orders and control messages may not cross a network in the clear.
+// Requests of callers, orders of operators and control messages must not cross a network
+// unencrypted.
 bool MayListen(const NodeSettings& settings) {
   const bool safe = settings.http.tls.enabled() && !settings.cluster_key.empty();
   const bool local = IsLoopback(settings.http.listen) && IsLoopback(settings.control_listen);
@@ -91,7 +92,7 @@
 
 }  // namespace
 
-// In the order in which they are built; they end in the opposite order.
+// Members are created in this order and destroyed in reverse.
 struct Daemon::Parts {
   explicit Parts(const NodeSettings& settings)
       : table(settings.platform_address),
@@ -220,19 +221,20 @@
     }
     absl::MutexLock lock(&parts_->mutex);
     Parts* const parts = parts_.get();
-    const auto stop_asked = [parts]() ABSL_NO_THREAD_SAFETY_ANALYSIS {
+    const auto stop_requested = [parts]() ABSL_NO_THREAD_SAFETY_ANALYSIS {
       return parts->stopping || parts->stop_now;
     };
     const absl::Duration wait = was_ready ? absl::InfiniteDuration() : kWatchInterval;
-    if (parts_->mutex.AwaitWithTimeout(absl::Condition(&stop_asked), wait)) {
+    if (parts_->mutex.AwaitWithTimeout(absl::Condition(&stop_requested), wait)) {
       break;
     }
   }
   const bool ended = WaitForStop();
-  // Answers are being written when the last request has ended: each within the send timeout.
+  // When the last request has ended its answer may still be being written, for up to the send
+  // timeout.
   const absl::Duration last_writes = settings_.http.send_timeout + kStopSlack;
   const bool whole = parts_->server.Stop(ended ? last_writes : absl::ZeroDuration()) && ended;
-  parts_->announcer->WaitTaken(ended ? kLeaveAnnouncement : absl::ZeroDuration());
+  parts_->announcer->WaitAccepted(ended ? kLeaveAnnouncement : absl::ZeroDuration());
   parts_->announcer->Stop();
   parts_->driver->Stop();
   Log(LogLevel::kInfo, "stopped", {{"whole", whole ? "true" : "false"}});
--- a/src/node/forward_token.cc
+++ b/src/node/forward_token.cc
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr char kUnsignedToken[] = "1";
-// Nodes' wall clocks may differ by this much.
+// Maximum difference between the wall clocks of two nodes.
 constexpr absl::Duration kMaximumAge = absl::Minutes(1);
 
 absl::string_view View(std::string_view text) { return {text.data(), text.size()}; }
--- a/src/node/leave_gossip.cc
+++ b/src/node/leave_gossip.cc
@@ -8,7 +8,8 @@
 namespace {
 
 constexpr absl::Duration kRoundInterval = absl::Milliseconds(100);
-// Peers told in a round, and rounds: each node of a zone is told about 30 times within a second.
+// Peers per round and number of rounds: each node of a zone receives a leave about 30 times within
+// a second.
 constexpr std::size_t kPeersPerRound = 3;
 constexpr int kRounds = 10;
 
@@ -34,14 +35,14 @@
   }
   absl::erase_if(rumors_, [](const auto& entry) { return entry.second.rounds_left <= 0; });
   const std::vector<MachineListUpdate> parts = SplitMachineList(update);
-  std::vector<NodeId> untold = peers;
-  for (std::size_t told = 0; told < kPeersPerRound && !untold.empty(); ++told) {
-    const std::size_t index = random_.Below(untold.size());
+  std::vector<NodeId> remaining_peers = peers;
+  for (std::size_t sent = 0; sent < kPeersPerRound && !remaining_peers.empty(); ++sent) {
+    const std::size_t index = random_.Below(remaining_peers.size());
     for (const MachineListUpdate& part : parts) {
-      outbox->Send(untold[index], part);
+      outbox->Send(remaining_peers[index], part);
     }
-    untold[index] = untold.back();
-    untold.pop_back();
+    remaining_peers[index] = remaining_peers.back();
+    remaining_peers.pop_back();
   }
 }
 
--- a/src/node/machine_announcer.cc
+++ b/src/node/machine_announcer.cc
@@ -12,13 +12,13 @@
 void MachineAnnouncer::Set(const NodeMachine& machine) {
   absl::MutexLock lock(&mutex_);
   machine_ = machine;
-  news_ = true;
-  taken_ = false;
+  announce_pending_ = true;
+  accepted_ = false;
 }
 
-bool MachineAnnouncer::WaitTaken(absl::Duration limit) {
+bool MachineAnnouncer::WaitAccepted(absl::Duration limit) {
   absl::MutexLock lock(&mutex_);
-  return mutex_.AwaitWithTimeout(absl::Condition(this, &MachineAnnouncer::Taken), limit);
+  return mutex_.AwaitWithTimeout(absl::Condition(this, &MachineAnnouncer::Accepted), limit);
 }
 
 void MachineAnnouncer::Stop() {
@@ -37,21 +37,21 @@
     NodeMachine machine;
     {
       absl::MutexLock lock(&mutex_);
-      mutex_.AwaitWithTimeout(absl::Condition(this, &MachineAnnouncer::HasNews), pause);
+      mutex_.AwaitWithTimeout(absl::Condition(this, &MachineAnnouncer::HasWork), pause);
       if (stopped_) {
         return;
       }
       machine = machine_;
-      news_ = false;
+      announce_pending_ = false;
     }
-    const Result<bool> taken = machines_->Announce(machine, options_.timeout);
-    pause = taken.ok() ? options_.repeat_after : options_.retry_after;
-    if (!taken.ok()) {
-      Log(LogLevel::kWarning, "announce_failed", {{"error", taken.error().message()}});
+    const Result<bool> accepted = machines_->Announce(machine, options_.timeout);
+    pause = accepted.ok() ? options_.repeat_after : options_.retry_after;
+    if (!accepted.ok()) {
+      Log(LogLevel::kWarning, "announce_failed", {{"error", accepted.error().message()}});
     }
     absl::MutexLock lock(&mutex_);
-    // Another machine may have been set meanwhile.
-    taken_ = taken.ok() && !news_;
+    // Set may have been called during the call.
+    accepted_ = accepted.ok() && !announce_pending_;
   }
 }
 
--- a/src/node/machine_list_parts.cc
+++ b/src/node/machine_list_parts.cc
@@ -7,7 +7,7 @@
 namespace hingespan {
 namespace {
 
-// Entries take up to about 150 bytes.
+// An entry takes up to about 150 bytes, so that this many fit into a datagram.
 constexpr std::size_t kEntriesPerMessage = 7;
 
 }  // namespace
--- a/src/node/method_refusals.cc
+++ b/src/node/method_refusals.cc
@@ -24,7 +24,7 @@
   if (gets) {
     server->Post(path, refuse);
   } else {
-    // Also serves HEAD.
+    // Get routes also serve HEAD.
     server->Get(path, refuse);
   }
   server->Put(path, refuse);
--- a/src/node/node_core.cc
+++ b/src/node/node_core.cc
@@ -10,14 +10,14 @@
 namespace hingespan {
 namespace {
 
-// Local messages can lead to more local messages; a longer chain than this is a programming error.
+// Local messages may produce further local messages. More rounds than this indicate a bug.
 constexpr int kMaximumLocalRounds = 16;
-// Duties over workers and ranges change slowly: they are looked at this often.
+// Duties for workers and key ranges change slowly, so they are checked at this interval.
 constexpr absl::Duration kClaimCheckInterval = absl::Milliseconds(500);
 constexpr absl::Duration kGrantCheckInterval = absl::Milliseconds(50);
-// Records looked at in one such check after a member has gone.
+// Maximum number of records examined per check after a member has left.
 constexpr std::size_t kKeysPerGrantCheck = 1024;
-// Time that a stopping node stays to pass on its leave, after its last request ended.
+// Time for which a stopping node gossips its leave after its last request has ended.
 constexpr absl::Duration kLeaveAnnouncement = absl::Milliseconds(300);
 
 MemberUpdate SelfUpdate(const CoreOptions& options) {
@@ -80,21 +80,21 @@
     const std::size_t first_call = outbox->engine_calls.size();
     keeper.keeper->Tick(membership_->peers(), permit_holder_, now, outbox);
     NumberEngineCalls(keeper.instance, first_call, outbox);
-    AbsorbLocalUpdates(keeper.keeper.get(), now, outbox);
+    ApplyLocalUpdates(keeper.keeper.get(), now, outbox);
   }
   SendHeartbeats(now, outbox);
 }
 
 void NodeCore::TickPlacement(absl::Time now, Outbox* outbox) {
-  const auto is_mine = [this](const ModelName& model) { return IsPlacerOf(model); };
+  const auto is_placer = [this](const ModelName& model) { return IsPlacerOf(model); };
   const auto keeper_of = [this](const WorkerId& worker) { return KeeperOf(worker); };
-  placer_->Tick(is_mine, keeper_of, now, outbox);
+  placer_->Tick(is_placer, keeper_of, now, outbox);
   TickPermits(now, outbox);
   if (record_sync_->ready() && !stopping_ && now >= next_grant_check_) {
     next_grant_check_ = now + kGrantCheckInterval;
     row_takeover_->Step(kKeysPerGrantCheck,
                         [this](const ModelName& model) { grants_->MarkDirty(model); });
-    grants_->Tick(GrantTargets(), is_mine, keeper_of, now, outbox);
+    grants_->Tick(GrantTargets(), is_placer, keeper_of, now, outbox);
   }
 }
 
@@ -103,7 +103,7 @@
     return;
   }
   next_claim_check_ = now + kClaimCheckInterval;
-  claim_owner_->Tick(MyClaimRanges(now, wall_time), wall_time, now, outbox);
+  claim_owner_->Tick(ClaimRangesToExtend(now, wall_time), wall_time, now, outbox);
 }
 
 void NodeCore::TickRouter(absl::Time now, absl::Time wall_time, Outbox* outbox) {
@@ -135,7 +135,7 @@
   const std::size_t first_call = outbox->engine_calls.size();
   keeper->second.keeper->HandleAnswer(local, membership_->peers(), now, outbox);
   NumberEngineCalls(keeper->second.instance, first_call, outbox);
-  AbsorbLocalUpdates(keeper->second.keeper.get(), now, outbox);
+  ApplyLocalUpdates(keeper->second.keeper.get(), now, outbox);
   NotifyRouter(now, wall_time, outbox);
   DeliverLocalMessages(now, wall_time, outbox);
 }
@@ -195,8 +195,9 @@
   DeliverLocalMessages(now, wall_time, outbox);
 }
 
-// A stopping node stays until its requests have ended and until the key time that it still decides
-// about has passed; then it says that it left and stays a moment, so that the word gets around.
+// A stopping node keeps running until its requests have ended and the key time that it still owns
+// has passed. It then announces that it has left and keeps running briefly so that the announcement
+// spreads.
 void NodeCore::AdvanceStop(absl::Time now, absl::Time wall_time, Outbox* outbox) {
   if (!stopping_ || left_at_ != absl::InfiniteFuture()) {
     return;
@@ -324,7 +325,7 @@
   return targets;
 }
 
-// A node that has heard nothing from its zone yet can't know whether it is.
+// A node that has not yet heard from its zone can't know whether it is the reader.
 bool NodeCore::IsPlatformReader() const {
   return membership_->joined() && platform_reader_ == options_.node;
 }
@@ -341,7 +342,7 @@
   return HoldsDuty(options_.node, Duty::kPlacer, model.value(), membership_->duty_holders());
 }
 
-std::vector<KeyRangeId> NodeCore::MyClaimRanges(absl::Time now, absl::Time wall_time) const {
+std::vector<KeyRangeId> NodeCore::ClaimRangesToExtend(absl::Time now, absl::Time wall_time) const {
   if (stopping_ || !record_sync_->ready()) {
     return {};
   }
@@ -366,7 +367,7 @@
   }
 }
 
-void NodeCore::AbsorbLocalUpdates(WorkerKeeper* keeper, absl::Time now, Outbox* outbox) {
+void NodeCore::ApplyLocalUpdates(WorkerKeeper* keeper, absl::Time now, Outbox* outbox) {
   const std::vector<ReplicaUpdate> updates = keeper->TakeLocalUpdates();
   AddChanged(directory_->Handle(options_.node, keeper->Report(), now, outbox));
   for (const ReplicaUpdate& update : updates) {
--- a/src/node/node_core_heartbeats.cc
+++ b/src/node/node_core_heartbeats.cc
@@ -1,4 +1,4 @@
-// Heartbeats of a node for the workers that it keeps, and what it does with those of others.
+// Sends heartbeats for the workers that this node keeps and handles the heartbeats of other nodes.
 #include <optional>
 
 #include "hingespan/node/node_core.h"
--- a/src/node/node_core_machines.cc
+++ b/src/node/node_core_machines.cc
@@ -1,4 +1,4 @@
-// What a node takes from the machine list, and whom it believes about a worker's leave.
+// Handles the machine list and decides which sources are trusted about a worker's leave.
 #include "absl/container/flat_hash_set.h"
 #include "hingespan/node/machine_list_parts.h"
 #include "hingespan/node/node_core.h"
@@ -6,13 +6,13 @@
 namespace hingespan {
 namespace {
 
-// A node that is not the zone's reader reads the machine list this many times less often.
+// A node that is not the zone's reader reads the machine list less often by this factor.
 constexpr int kFollowerReadFactor = 15;
 
 }  // namespace
 
 void NodeCore::ReadMachines(absl::Time now, Outbox* outbox) {
-  // A follower that becomes the reader is due at once, unless it has read just now.
+  // A follower that becomes the reader reads at once unless it has just read.
   const bool follower = !IsPlatformReader() && !machines_.empty();
   const int factor = follower ? kFollowerReadFactor : 1;
   if (now < last_machine_read_ + options_.machine_list_interval * factor) {
@@ -25,7 +25,7 @@
   call.request = ReadMachinesCall{};
   outbox->platform_calls.push_back(std::move(call));
   if (workers_.empty() && !membership_->peers().empty()) {
-    // An empty update asks a peer for all it knows, in case the platform does not answer.
+    // An empty update requests the full list from a peer, in case the platform does not answer.
     outbox->Send(membership_->peers().front(), MachineListUpdate{});
   }
 }
@@ -36,21 +36,21 @@
     return;
   }
   machines_answered_ = answer.call;
-  MachineListUpdate news =
+  MachineListUpdate changes =
       UpdateMachines({listing->nodes, listing->workers}, MachineSource::kPlatform, now);
   if (!IsPlatformReader()) {
     return;
   }
-  // Repeated with every read, since the message that told of a leave may have been lost.
-  AddWorkersNotLive(&news);
-  for (const MachineListUpdate& part : SplitMachineList(news)) {
+  // Sent again after every read, because the message that announced a leave may have been lost.
+  AddNonLiveWorkers(&changes);
+  for (const MachineListUpdate& part : SplitMachineList(changes)) {
     for (const NodeId& peer : membership_->peers()) {
       outbox->Send(peer, part);
     }
   }
 }
 
-void NodeCore::AddWorkersNotLive(MachineListUpdate* update) const {
+void NodeCore::AddNonLiveWorkers(MachineListUpdate* update) const {
   absl::flat_hash_set<WorkerId> held;
   for (const WorkerMachine& machine : update->workers) {
     held.insert(machine.worker);
@@ -64,25 +64,25 @@
 
 MachineListUpdate NodeCore::UpdateMachines(const MachineListUpdate& update, MachineSource source,
                                            absl::Time now) {
-  MachineListUpdate news;
+  MachineListUpdate changes;
   for (const NodeMachine& machine : update.nodes) {
     NodeMachine& held = machines_[machine.node];
     if (!(held == machine)) {
       held = machine;
-      news.nodes.push_back(machine);
+      changes.nodes.push_back(machine);
     }
   }
   for (const WorkerMachine& machine : update.workers) {
     if (machine.zone == options_.zone && UpdateWorker(machine, source, now)) {
-      news.workers.push_back(machine);
+      changes.workers.push_back(machine);
     }
   }
-  if (!news.nodes.empty()) {
+  if (!changes.nodes.empty()) {
     router_->SetRemoteNodes(RemoteNodes());
     other_zone_nodes_ = OtherZoneNodes();
     other_zones_ = OtherZones();
   }
-  return news;
+  return changes;
 }
 
 WorkerIncarnation NodeCore::ReportedIncarnation(const WorkerId& worker) const {
@@ -90,16 +90,16 @@
   return known == nullptr ? WorkerIncarnation() : known->report.incarnation;
 }
 
-// Within one incarnation a worker goes from live over leaving to gone. Only what this node read at
-// the platform itself takes a leave back, as a peer's word of an earlier state may be late. Gone is
-// final: slots of a gone worker were given to others.
+// Within one incarnation a worker goes from live to leaving to gone. Only a read of the platform by
+// this node itself can withdraw a leave, because a peer may send an outdated state. Gone is final,
+// because the slots of a gone worker have been given to others.
 bool NodeCore::MayReplace(const WorkerMachine& held, const WorkerMachine& machine,
                           MachineSource source, absl::Time now) const {
   if (held == machine || held.state == MachineState::kGone) {
     return false;
   }
   if (source == MachineSource::kPeer && machine.state == MachineState::kLeaving &&
-      TakenBackLately(machine.worker, now)) {
+      LeaveRecentlyWithdrawn(machine.worker, now)) {
     return false;
   }
   if (source == MachineSource::kPlatform || machine.state >= held.state) {
@@ -111,14 +111,14 @@
   return incarnation_known && ReportedIncarnation(machine.worker) > left->second;
 }
 
-// After this time each node of the zone has read the list itself.
-bool NodeCore::TakenBackLately(const WorkerId& worker, absl::Time now) const {
-  const auto taken_back = leaves_taken_back_.find(worker);
-  return taken_back != leaves_taken_back_.end() &&
-         now - taken_back->second < options_.machine_list_interval * (kFollowerReadFactor + 1);
+// After this time every node of the zone has read the list itself.
+bool NodeCore::LeaveRecentlyWithdrawn(const WorkerId& worker, absl::Time now) const {
+  const auto withdrawn = withdrawn_leaves_.find(worker);
+  return withdrawn != withdrawn_leaves_.end() &&
+         now - withdrawn->second < options_.machine_list_interval * (kFollowerReadFactor + 1);
 }
 
-// Spec action: HandleReport. A leave that was reported stays known.
+// Spec action: HandleReport. A reported leave is remembered.
 void NodeCore::NoteReportedLeave(const WorkerId& worker, absl::Time now) {
   const KnownWorker* const known = directory_->Find(worker);
   const auto held = workers_.find(worker);
@@ -143,11 +143,11 @@
     left_incarnations_[machine.worker] = ReportedIncarnation(machine.worker);
   }
   if (!was_live && is_live && source == MachineSource::kPlatform) {
-    leaves_taken_back_[machine.worker] = now;
+    withdrawn_leaves_[machine.worker] = now;
   }
   held = machine;
   if (!inserted) {
-    leave_gossip_.Note(machine);  // Of a worker that was new here, the zone knew before.
+    leave_gossip_.Note(machine);  // The zone already knows workers that are new to this node.
   }
   workers_changed_ = true;
   directory_->MarkLeaving(machine.worker, machine.state != MachineState::kLive);
--- a/src/node/node_core_messages.cc
+++ b/src/node/node_core_messages.cc
@@ -1,11 +1,11 @@
-// What a node does with each kind of message.
+// Handlers for each type of message.
 #include "hingespan/membership/duties.h"
 #include "hingespan/node/machine_list_parts.h"
 #include "hingespan/node/node_core.h"
 
 namespace hingespan {
 
-// Membership messages were handled before; probes carry the sender's table revision.
+// Membership messages have been handled before this. Probes carry the sender's table revision.
 void NodeCore::On(const Envelope& envelope, const Probe&, absl::Time now, absl::Time,
                   Outbox* outbox) {
   record_sync_->Handle(envelope, now, outbox);
@@ -36,14 +36,15 @@
   if (envelope.from_zone != options_.zone) {
     return;
   }
-  const bool asks_for_all = update.nodes.empty() && update.workers.empty();
-  if (!asks_for_all) {
+  const bool requests_full_list = update.nodes.empty() && update.workers.empty();
+  if (!requests_full_list) {
     const bool from_reader = envelope.from == platform_reader_;
     UpdateMachines(update, from_reader ? MachineSource::kReader : MachineSource::kPeer, now);
     return;
   }
-  // The answer is larger than the question and goes to an address: only to a member's. It is never
-  // empty, as no parts are made of nothing, so that it can't be taken for a question in turn.
+  // The answer is larger than the request and is sent to the address given in it, so only members
+  // get one. SplitMachineList returns no parts for an empty list, so the answer is never empty and
+  // can't be mistaken for a request.
   if (membership_->Find(envelope.from) == nullptr) {
     return;
   }
--- a/src/node/node_core_permits.cc
+++ b/src/node/node_core_permits.cc
@@ -1,9 +1,9 @@
-// A node's part in sharing the weight store's budget; see PermitHolder.
+// Shares the weight store's budget with other nodes; see PermitHolder.
 #include "hingespan/node/node_core.h"
 
 namespace hingespan {
 
-// A node that stops is no holder any more: its members do not name it.
+// A stopping node is no longer the holder, because members exclude it from the duty.
 void NodeCore::TickPermits(absl::Time now, Outbox* outbox) {
   if (!options_.keeper.use_permits) {
     return;
@@ -39,7 +39,7 @@
   NumberEngineCalls(keeper->second.instance, first_call, outbox);
 }
 
-// Votes are given inside a zone only.
+// Votes are exchanged only within a zone.
 void NodeCore::On(const Envelope& envelope, const PermitVoteRequest& request, absl::Time now,
                   absl::Time, Outbox* outbox) {
   if (envelope.from_zone == options_.zone) {
@@ -54,7 +54,7 @@
   }
 }
 
-// The borrower knows nodes of this zone, not which of them is the holder.
+// The borrower knows nodes of this zone but not which one is the holder.
 void NodeCore::On(const Envelope& envelope, const PermitLoanRequest& request, absl::Time now,
                   absl::Time, Outbox* outbox) {
   if (request.lender != options_.zone) {
--- a/src/node/node_explain.cc
+++ b/src/node/node_explain.cc
@@ -1,4 +1,4 @@
-// Why a model is where it is, for operators.
+// Explains to operators where a model runs and why.
 #include <string>
 #include <vector>
 
--- a/src/node/request_forwarder.cc
+++ b/src/node/request_forwarder.cc
@@ -17,9 +17,9 @@
 using Json = nlohmann::json;
 
 constexpr char kErrorEventHead[] = "data: {\"error\"";
-// Enough of an event to know an error or the end by.
-constexpr std::size_t kKeptEventBytes = 32;
-// The other node answers at the deadline; its answer takes a little longer to get here.
+// Number of bytes of an event that suffice to recognize an error or the end.
+constexpr std::size_t kEventPrefixBytes = 32;
+// Extra time for the answer of the other node, which is sent at the deadline, to arrive.
 constexpr absl::Duration kAnswerGrace = absl::Milliseconds(250);
 
 std::vector<HttpHeader> ForwardHeaders(const RequestForwarderOptions& options,
@@ -37,14 +37,15 @@
   if (!request.key.empty()) {
     headers.push_back({"Idempotency-Key", request.key.value()});
   }
-  // The signed forward header stands for the caller's key, which another node need not learn.
+  // The signed forward header replaces the caller's key, so that the key is not disclosed to the
+  // other node.
   if (options.cluster_key.empty() && !options.caller_key.empty()) {
     headers.push_back({"Authorization", absl::StrCat("Bearer ", options.caller_key)});
   }
   return headers;
 }
 
-// Refusals that another node would give as well, or that leave no time to ask one.
+// Returns true for refusals that another node would repeat, or that leave no time to ask one.
 bool IsFinal(RefusalCode code) {
   switch (code) {
     case RefusalCode::kBadRequest:
@@ -88,7 +89,7 @@
                           : absl::Seconds(NumberOfHeader(answer, "Retry-After"));
 }
 
-// Nothing when the answer is no node's refusal.
+// Returns nullopt if the answer is not the refusal of a node.
 std::optional<Refusal> ReadRefusal(const HttpAnswer& answer) {
   const Json body = Json::parse(answer.body, nullptr, false);
   if (answer.end != ExchangeEnd::kComplete || !body.is_object() || !body.contains("error") ||
@@ -114,7 +115,7 @@
   if (refusal.has_value() && IsFinal(refusal->code)) {
     return {AttemptOutcome::kRefusedElsewhere, *std::move(refusal)};
   }
-  // Only a node's own refusal can say that the request was not run.
+  // Only the refusal of a node can state that the request did not run.
   if (refusal.has_value() && refusal->attempt == RunState::kNotRun) {
     return {AttemptOutcome::kNotRun, Refusal()};
   }
@@ -123,7 +124,7 @@
           Refusal()};
 }
 
-AttemptOutcome OutcomeOfBreak(const HttpAnswer& answer, const CallerAnswer& caller) {
+AttemptOutcome OutcomeOfInterruptedAnswer(const HttpAnswer& answer, const CallerAnswer& caller) {
   if (answer.end == ExchangeEnd::kCancelled) {
     return AttemptOutcome::kCancelled;
   }
@@ -155,7 +156,7 @@
     exchange.idle_limit = options_.idle_limit;
     exchange.on_piece = [answer, &events](std::string_view piece) {
       events.Add(piece);
-      return answer->PassOn(piece);
+      return answer->Relay(piece);
     };
     exchange.before_wait = [answer] { answer->Flush(); };
   }
@@ -175,25 +176,25 @@
     return AttemptOutcome::kComplete;
   }
   if (events.failed()) {
-    answer->EndedByOther();
+    answer->EndAfterRemoteError();
     return AttemptOutcome::kFailedAfterOutput;
   }
   if (got.end == ExchangeEnd::kComplete && !stream) {
-    answer->PassOn(got.body);
+    answer->Relay(got.body);
     return AttemptOutcome::kComplete;
   }
-  return OutcomeOfBreak(got, *answer);
+  return OutcomeOfInterruptedAnswer(got, *answer);
 }
 
 void EventStreamEnd::Add(std::string_view piece) {
   constexpr std::string_view kEventEnd = "\n\n";
   for (const char character : piece) {
-    if (partial_.size() < kKeptEventBytes) {
+    if (partial_.size() < kEventPrefixBytes) {
       partial_.push_back(character);
     } else {
-      // Keep the last two bytes, to see the end of the event.
-      partial_[kKeptEventBytes - 2] = partial_[kKeptEventBytes - 1];
-      partial_[kKeptEventBytes - 1] = character;
+      // Keeps the last two bytes to detect the end of the event.
+      partial_[kEventPrefixBytes - 2] = partial_[kEventPrefixBytes - 1];
+      partial_[kEventPrefixBytes - 1] = character;
     }
     const std::string_view kept = partial_;
     if (kept.size() >= kEventEnd.size() &&
--- a/src/node/request_session.cc
+++ b/src/node/request_session.cc
@@ -11,7 +11,7 @@
 namespace hingespan {
 namespace {
 
-// The router decides at its next tick after the deadline at the latest.
+// Extra wait for the router, which decides at its next tick after the deadline at the latest.
 constexpr absl::Duration kDecisionGrace = absl::Milliseconds(200);
 
 std::string KindName(CallKind kind) { return kind == CallKind::kChat ? "chat" : "completion"; }
@@ -47,7 +47,7 @@
   bool decided = false;
   while (true) {
     const auto gone = [this] { return answer_->caller_gone(); };
-    // A stream that broke off after the deadline still gets its final decision.
+    // A stream that was interrupted after the deadline still gets its final decision.
     const absl::Time now = SystemClock().Now();
     const absl::Time until = std::max(request_.deadline, now) + kDecisionGrace;
     const std::optional<RouteDecision> decision = pending->Wait(until, gone);
@@ -59,7 +59,7 @@
       decided = true;
       parts_.metrics->ObserveWait(SystemClock().Now() - request_.arrival);
     }
-    const std::optional<AttemptOutcome> outcome = CarryOut(*decision);
+    const std::optional<AttemptOutcome> outcome = Execute(*decision);
     if (!outcome.has_value()) {
       return;
     }
@@ -69,7 +69,7 @@
       return;
     }
     if (*outcome == AttemptOutcome::kRefusedElsewhere) {
-      RefuseAsElsewhere();
+      RelayRemoteRefusal();
       return;
     }
     may_have_run_ = may_have_run_ || *outcome == AttemptOutcome::kFailedBeforeOutput;
@@ -80,7 +80,7 @@
   }
 }
 
-std::optional<AttemptOutcome> RequestSession::CarryOut(const RouteDecision& decision) {
+std::optional<AttemptOutcome> RequestSession::Execute(const RouteDecision& decision) {
   switch (decision.action) {
     case RouteAction::kDispatch:
       return RunOnEngine(decision);
@@ -98,7 +98,7 @@
   GenerationRequest generation;
   generation.request = request_.id;
   if (attempts_ > 1) {
-    // An engine may still know an earlier attempt by the same id.
+    // The engine may still know an earlier attempt under the same id.
     generation.request = RequestId(absl::StrCat(request_.id.value(), "~", attempts_));
   }
   generation.model = request_.caller.model;
@@ -160,14 +160,15 @@
   if (result.outcome == AttemptOutcome::kComplete) {
     answer_->Complete();
   }
-  refusal_elsewhere_ = std::move(result.refusal);
+  remote_refusal_ = std::move(result.refusal);
   return result.outcome;
 }
 
 void RequestSession::GiveUp(PendingRequest* pending) {
   const bool gone = answer_->caller_gone();
   parts_.driver->Cancel(request_.id);
-  // The router says what is known of the attempt; without its word, no more than "may have run".
+  // The router reports what is known of the attempt. Without its decision the request counts as
+  // possibly run.
   Refusal refusal;
   refusal.attempt = RunState::kMayHaveRun;
   refusal.key = RunState::kMayHaveRun;
@@ -176,7 +177,7 @@
   if (last.has_value() && last->action == RouteAction::kRefuse) {
     refusal = last->refusal;
   } else if (last.has_value()) {
-    // Decided in the last moment, and not carried out.
+    // A decision arrived too late and was not executed.
     parts_.driver->Finish(request_.id, AttemptOutcome::kCancelled);
     refusal.attempt = attempts_ == 0 ? RunState::kNotRun : RunState::kMayHaveRun;
   }
@@ -189,8 +190,8 @@
   Refuse(refusal);
 }
 
-void RequestSession::RefuseAsElsewhere() {
-  Refusal refusal = refusal_elsewhere_;
+void RequestSession::RelayRemoteRefusal() {
+  Refusal refusal = remote_refusal_;
   // The other node knows nothing of earlier attempts.
   if (may_have_run_) {
     refusal.attempt = RunState::kMayHaveRun;
--- a/tests/node/call_lanes_test.cc
+++ b/tests/node/call_lanes_test.cc
@@ -12,7 +12,7 @@
 
 constexpr absl::Duration kLimit = absl::Seconds(20);
 
-TEST_CASE("a lane that hangs holds back only itself") {
+TEST_CASE("a blocked lane delays only itself") {
   CallLanesOptions options;
   options.maximum_threads = 2;
   options.maximum_per_lane = 3;
@@ -46,7 +46,7 @@
   release.Notify();
 }
 
-// A machine list that fails at first.
+// Machine list whose first calls fail.
 class FailingMachineList : public MachineList {
  public:
   Result<MachineListing> Read(const ZoneId&, absl::Duration) override { return MachineListing(); }
@@ -67,7 +67,7 @@
   std::vector<MachineState> states;
 };
 
-TEST_CASE("an announcement is repeated until it was taken; the last one said is the one kept") {
+TEST_CASE("an announcement is repeated until it is accepted; the latest one wins") {
   FailingMachineList machines;
   MachineAnnouncerOptions options;
   options.retry_after = absl::Milliseconds(1);
@@ -75,10 +75,10 @@
   NodeMachine machine;
   machine.node = NodeId("n1");
   announcer.Set(machine);
-  REQUIRE(announcer.WaitTaken(kLimit));
+  REQUIRE(announcer.WaitAccepted(kLimit));
   machine.state = MachineState::kLeaving;
   announcer.Set(machine);
-  REQUIRE(announcer.WaitTaken(kLimit));
+  REQUIRE(announcer.WaitAccepted(kLimit));
   announcer.Stop();
   CHECK(machines.states == std::vector<MachineState>{MachineState::kLive, MachineState::kLeaving});
 }
--- a/tests/node/caller_front_end_test.cc
+++ b/tests/node/caller_front_end_test.cc
@@ -1,4 +1,4 @@
-// What callers see: answers, streams, refusals, and explicit errors when things fail.
+// The caller interface: answers, streams, refusals, and explicit errors on failures.
 #include <doctest/doctest.h>
 #include <httplib.h>
 
@@ -74,7 +74,7 @@
   CHECK(absl::EndsWith(body, "data: [DONE]\n\n"));
 }
 
-// Sizes and text of the pieces of a chunked answer.
+// Returns the chunks of an answer with chunked encoding.
 std::vector<std::string> PiecesOf(const std::string& answer) {
   std::vector<std::string> pieces;
   std::size_t position = answer.find("\r\n\r\n") + 4;
@@ -90,7 +90,7 @@
   }
 }
 
-TEST_CASE("tokens that came together go out as one piece, the first at once") {
+TEST_CASE("tokens that arrive together are sent as one chunk, and the first is sent immediately") {
   OneNode node;
   node.engine().SetGenerate(
       [](const GenerationRequest& request, absl::Time, const ChunkSink& sink) {
@@ -121,7 +121,7 @@
   }
 }
 
-TEST_CASE("tokens that are kept back when the engine breaks off still reach the caller") {
+TEST_CASE("tokens that are buffered when the engine fails still reach the caller") {
   OneNode node;
   node.engine().SetGenerate([](const GenerationRequest&, absl::Time, const ChunkSink& sink) {
     for (std::uint64_t sequence = 1; sequence <= 3; ++sequence) {
@@ -140,7 +140,7 @@
   CHECK(last_token < answer->body.find("data: {\"error\":"));
 }
 
-TEST_CASE("an engine that fails before output is refused with what is known") {
+TEST_CASE("a failure of the engine before output is refused with the known state of the attempt") {
   OneNode node;
   node.engine().SetGenerate([](const GenerationRequest&, absl::Time, const ChunkSink&) {
     return GenerationResult{GenerationOutcome::kMayHaveRun, make_error_code(Error::kAnswerLost), 0};
@@ -152,7 +152,7 @@
   CHECK(ErrorOf(answer)["attempt"] == "may_have_run");
 }
 
-TEST_CASE("a stream that breaks off ends in an error event, never in silence") {
+TEST_CASE("an interrupted stream ends with an error event") {
   OneNode node;
   node.engine().SetGenerate([](const GenerationRequest&, absl::Time, const ChunkSink& sink) {
     sink({1, "one "});
@@ -166,7 +166,7 @@
   CHECK(!absl::StrContains(answer->body, "[DONE]"));
 }
 
-TEST_CASE("a repeatable request is tried again, and the caller sees one answer") {
+TEST_CASE("a repeatable request is retried, and the caller gets one answer") {
   OneNode node;
   std::atomic<int> attempts = 0;
   std::string first_id;
@@ -186,7 +186,7 @@
   REQUIRE(answer->status == 200);
   CHECK(Json::parse(answer->body)["choices"][0]["message"]["content"] == "one two");
   CHECK(attempts == 2);
-  // The engine may still know the first attempt.
+  // The engine may still know the first attempt by its id.
   CHECK(first_id != second_id);
 }
 
@@ -227,7 +227,7 @@
   CHECK(ErrorOf(again)["key"] == "may_have_run");
 }
 
-TEST_CASE("a caller that goes away while the engine works frees its place") {
+TEST_CASE("a caller that disconnects during generation frees its slot") {
   OneNode node;
   absl::Notification entered;
   std::atomic<bool> cancelled = false;
@@ -284,7 +284,7 @@
   CHECK(status["node"] == "n1");
   CHECK(status["workers"][0]["replicas"][0]["state"] == "ready");
   CHECK(!Json::parse(client.Get("/admin/explain?model=m")->body)["lines"].empty());
-  // The row was put without an editor.
+  // The row was written without an editor.
   CHECK(!absl::StrContains(client.Get("/admin/explain?model=m")->body, "edited by"));
   CHECK(client.Get("/admin/explain")->status == 400);
   const std::string metrics = client.Get("/metrics")->body;
--- a/tests/node/caller_interface_test.cc
+++ b/tests/node/caller_interface_test.cc
@@ -1,5 +1,5 @@
-// What clients of the usual HTTP interface expect besides answers: single models, methods,
-// challenges, when to come back, and what is wrong with a body.
+// Standard HTTP behavior besides answers: single models, methods, authentication challenges,
+// Retry-After and error descriptions of bodies.
 #include <doctest/doctest.h>
 #include <httplib.h>
 
@@ -55,7 +55,7 @@
   CHECK(client.Get("/v1/nothing")->status == 404);
 }
 
-TEST_CASE("a missing key is challenged") {
+TEST_CASE("a missing key is answered with an authentication challenge") {
   OneNodeOptions options;
   options.caller_key = "caller secret";
   options.operator_key = "operator secret";
@@ -68,7 +68,7 @@
   }
 }
 
-// Whether Retry-After goes with a refusal of a request that did not run.
+// Returns true if a refusal with this code of a request that did not run must carry Retry-After.
 bool ExpectsRetryAfter(RefusalCode code) {
   switch (code) {
     case RefusalCode::kBadRequest:
@@ -101,7 +101,7 @@
   return response.has_header("Retry-After");
 }
 
-TEST_CASE("Retry-After goes with every refusal where coming back helps, and no other") {
+TEST_CASE("Retry-After is sent with exactly those refusals where a retry can help") {
   for (int index = 0; index <= static_cast<int>(RefusalCode::kCancelled); ++index) {
     Refusal refusal;
     refusal.code = static_cast<RefusalCode>(index);
@@ -110,9 +110,9 @@
     refusal.attempt = RunState::kNotRun;
     CHECK(SendsRetryAfter(refusal) == expected);
     refusal.attempt = RunState::kMayHaveRun;
-    // Without the router's word, coming back could make it run twice.
+    // Without a delay given by the router a retry could make the request run twice.
     CHECK(!SendsRetryAfter(refusal));
-    // That word is passed on as it is.
+    // A delay given by the router is passed on unchanged.
     refusal.retry_after = absl::Seconds(3);
     CHECK(SendsRetryAfter(refusal));
   }
--- a/tests/node/node_core_test.cc
+++ b/tests/node/node_core_test.cc
@@ -1,4 +1,4 @@
-// Whole nodes in virtual time: many node cores over a simulated network, before the emulator's
+// Complete nodes in virtual time: many node cores on a simulated network with the emulator's
 // engines, under faults.
 #include <doctest/doctest.h>
 
@@ -13,7 +13,7 @@
 
 constexpr absl::Duration kBound = absl::Seconds(60);
 
-SimulatedFleetOptions SmallWorld() {
+SimulatedFleetOptions SmallFleetOptions() {
   SimulatedFleetOptions options;
   options.engine.memory_mib = 10240;
   options.engine.remote_load_per_gib = absl::Milliseconds(50);
@@ -30,23 +30,23 @@
   return row;
 }
 
-RouteRequest Request(SimulatedFleet& world, const std::string& model) {
+RouteRequest Request(SimulatedFleet& fleet, const std::string& model) {
   RouteRequest request;
   request.model = ModelName(model);
-  request.deadline = world.now() + absl::Seconds(20);
+  request.deadline = fleet.now() + absl::Seconds(20);
   return request;
 }
 
-// The world with `rows` known everywhere and granted.
-void Start(SimulatedFleet& world, const std::vector<ModelRow>& rows) {
-  REQUIRE(world.RunUntil([&] { return world.AllReady(); }, kBound));
-  world.WriteRows(rows);
-  REQUIRE(world.RunUntil(
+// Starts the fleet and waits until `rows` are known at all nodes and granted.
+void Start(SimulatedFleet& fleet, const std::vector<ModelRow>& rows) {
+  REQUIRE(fleet.RunUntil([&] { return fleet.AllReady(); }, kBound));
+  fleet.WriteRows(rows);
+  REQUIRE(fleet.RunUntil(
       [&] {
-        if (!world.Converged()) {
+        if (!fleet.Converged()) {
           return false;
         }
-        const RecordStore& store = world.core(world.nodes().front())->store();
+        const RecordStore& store = fleet.core(fleet.nodes().front())->store();
         for (const ModelRow& row : rows) {
           const auto grant = store.FindGrant(row.name);
           if (grant == nullptr || grant->slots.size() < row.max_replicas) {
@@ -58,206 +58,207 @@
       kBound));
 }
 
-// What went against the promises, by kind.
+// Number of violated guarantees by kind.
 struct Violations {
   std::uint64_t overcommits = 0;
   int above_limit = 0;
   int repeated_keys = 0;
 };
 
-Violations FindViolations(const SimulatedFleet& world, const std::vector<ModelRow>& rows) {
+Violations FindViolations(const SimulatedFleet& fleet, const std::vector<ModelRow>& rows) {
   Violations found;
-  found.overcommits = world.overcommits();
+  found.overcommits = fleet.overcommits();
   for (const ModelRow& row : rows) {
-    const auto held = world.maximum_replicas().find(row.name);
-    if (held != world.maximum_replicas().end() &&
+    const auto held = fleet.maximum_replicas().find(row.name);
+    if (held != fleet.maximum_replicas().end() &&
         held->second > static_cast<int>(row.max_replicas)) {
       found.above_limit += 1;
     }
   }
-  for (const auto& [key, runs] : world.runs_by_key()) {
+  for (const auto& [key, runs] : fleet.runs_by_key()) {
     found.repeated_keys += runs > 1 ? 1 : 0;
   }
   return found;
 }
 
-void CheckLimits(const SimulatedFleet& world, const std::vector<ModelRow>& rows) {
-  const Violations found = FindViolations(world, rows);
+void CheckLimits(const SimulatedFleet& fleet, const std::vector<ModelRow>& rows) {
+  const Violations found = FindViolations(fleet, rows);
   CHECK(found.overcommits == 0);
   CHECK(found.above_limit == 0);
   CHECK(found.repeated_keys == 0);
 }
 
 TEST_CASE("nodes of three zones come up, learn rows, grant slots and serve a cold model") {
-  SimulatedFleet world(SmallWorld());
+  SimulatedFleet fleet(SmallFleetOptions());
   const std::vector<ModelRow> rows = {Row("one", 1), Row("three", 3)};
-  Start(world, rows);
-  for (const NodeId& node : world.nodes()) {
-    world.Submit(node, Request(world, "one"));
-    world.Submit(node, Request(world, "three"));
+  Start(fleet, rows);
+  for (const NodeId& node : fleet.nodes()) {
+    fleet.Submit(node, Request(fleet, "one"));
+    fleet.Submit(node, Request(fleet, "three"));
   }
-  REQUIRE(world.RunUntil([&] { return world.open_requests() == 0; }, kBound));
-  CHECK(world.requests().answered == world.requests().submitted);
-  CheckLimits(world, rows);
+  REQUIRE(fleet.RunUntil([&] { return fleet.open_requests() == 0; }, kBound));
+  CHECK(fleet.requests().answered == fleet.requests().submitted);
+  CheckLimits(fleet, rows);
 }
 
 TEST_CASE("requests for a row so new that no slot is granted yet wait for the grant") {
-  SimulatedFleetOptions options = SmallWorld();
+  SimulatedFleetOptions options = SmallFleetOptions();
   options.platform_delay = absl::Milliseconds(300);
-  SimulatedFleet world(options);
-  Start(world, {Row("old", 1)});
+  SimulatedFleet fleet(options);
+  Start(fleet, {Row("old", 1)});
   const std::vector<ModelRow> rows = {Row("new", 2)};
-  world.WriteRows(rows);
-  REQUIRE(world.RunUntil(
+  fleet.WriteRows(rows);
+  REQUIRE(fleet.RunUntil(
       [&] {
-        for (const NodeId& node : world.nodes()) {
-          if (world.core(node)->store().FindRow(ModelName("new")) == nullptr) {
+        for (const NodeId& node : fleet.nodes()) {
+          if (fleet.core(node)->store().FindRow(ModelName("new")) == nullptr) {
             return false;
           }
         }
         return true;
       },
       kBound));
-  for (const NodeId& node : world.nodes()) {
+  for (const NodeId& node : fleet.nodes()) {
     for (int request = 0; request < 4; ++request) {
-      world.Submit(node, Request(world, "new"));
+      fleet.Submit(node, Request(fleet, "new"));
     }
   }
-  REQUIRE(world.RunUntil([&] { return world.open_requests() == 0; }, kBound));
-  CHECK(world.requests().answered == world.requests().submitted);
-  CheckLimits(world, rows);
+  REQUIRE(fleet.RunUntil([&] { return fleet.open_requests() == 0; }, kBound));
+  CHECK(fleet.requests().answered == fleet.requests().submitted);
+  CheckLimits(fleet, rows);
 }
 
-TEST_CASE("a burst on one cold model at every node is one load") {
-  SimulatedFleet world(SmallWorld());
+TEST_CASE("a burst of requests for one cold model at every node causes one load") {
+  SimulatedFleet fleet(SmallFleetOptions());
   const std::vector<ModelRow> rows = {Row("cold", 1)};
-  Start(world, rows);
-  for (const NodeId& node : world.nodes()) {
+  Start(fleet, rows);
+  for (const NodeId& node : fleet.nodes()) {
     for (int request = 0; request < 5; ++request) {
-      world.Submit(node, Request(world, "cold"));
+      fleet.Submit(node, Request(fleet, "cold"));
     }
   }
-  REQUIRE(world.RunUntil([&] { return world.open_requests() == 0; }, kBound));
-  CHECK(world.requests().answered == world.requests().submitted);
-  CHECK(world.loads_begun() == 1);
+  REQUIRE(fleet.RunUntil([&] { return fleet.open_requests() == 0; }, kBound));
+  CHECK(fleet.requests().answered == fleet.requests().submitted);
+  CHECK(fleet.loads_begun() == 1);
 }
 
-TEST_CASE("the platform down: cold starts inside grants go on") {
-  SimulatedFleet world(SmallWorld());
+TEST_CASE("cold starts within grants continue while the platform is down") {
+  SimulatedFleet fleet(SmallFleetOptions());
   const std::vector<ModelRow> rows = {Row("granted", 2)};
-  Start(world, rows);
-  world.SetPlatform(PlatformState::kDown);
-  for (const NodeId& node : world.nodes()) {
-    world.Submit(node, Request(world, "granted"));
+  Start(fleet, rows);
+  fleet.SetPlatform(PlatformState::kDown);
+  for (const NodeId& node : fleet.nodes()) {
+    fleet.Submit(node, Request(fleet, "granted"));
   }
-  REQUIRE(world.RunUntil([&] { return world.open_requests() == 0; }, kBound));
-  CHECK(world.requests().answered == world.requests().submitted);
-  CheckLimits(world, rows);
+  REQUIRE(fleet.RunUntil([&] { return fleet.open_requests() == 0; }, kBound));
+  CHECK(fleet.requests().answered == fleet.requests().submitted);
+  CheckLimits(fleet, rows);
 }
 
 TEST_CASE("a restarted node gets its records from a peer while the platform is down") {
-  SimulatedFleet world(SmallWorld());
+  SimulatedFleet fleet(SmallFleetOptions());
   std::vector<ModelRow> rows;
   for (int row = 0; row < 200; ++row) {
     rows.push_back(Row(absl::StrCat("row-", row), 1));
   }
-  Start(world, rows);
-  world.SetPlatform(PlatformState::kDown);
-  const NodeId node = world.nodes().front();
-  world.Kill(node);
-  world.RunFor(absl::Seconds(1));
-  world.Restart(node);
-  REQUIRE(world.RunUntil(
-      [&] { return world.core(node)->Ready() && world.core(node)->store().row_count() == 200; },
+  Start(fleet, rows);
+  fleet.SetPlatform(PlatformState::kDown);
+  const NodeId node = fleet.nodes().front();
+  fleet.Kill(node);
+  fleet.RunFor(absl::Seconds(1));
+  fleet.Restart(node);
+  REQUIRE(fleet.RunUntil(
+      [&] { return fleet.core(node)->Ready() && fleet.core(node)->store().row_count() == 200; },
       kBound));
 }
 
-void InjectFault(SimulatedFleet& world, Random& random) {
-  const std::vector<NodeId> nodes = world.nodes();
-  const std::vector<WorkerId> workers = world.workers();
+void InjectFault(SimulatedFleet& fleet, Random& random) {
+  const std::vector<NodeId> nodes = fleet.nodes();
+  const std::vector<WorkerId> workers = fleet.workers();
   const NodeId node = nodes[random.Below(nodes.size())];
-  const bool runs = world.core(node) != nullptr;
+  const bool runs = fleet.core(node) != nullptr;
   switch (random.Below(9)) {
     case 0:
-      runs ? world.Kill(node) : world.Restart(node);
+      runs ? fleet.Kill(node) : fleet.Restart(node);
       break;
     case 1:
-      world.Pause(node);
+      fleet.Pause(node);
       break;
     case 2:
-      world.Continue(node);
+      fleet.Continue(node);
       break;
     case 3:
-      world.RestartEngine(workers[random.Below(workers.size())]);
+      fleet.RestartEngine(workers[random.Below(workers.size())]);
       break;
     case 4:
-      world.SetPlatform(random.Below(2) == 0 ? PlatformState::kLosesAnswers : PlatformState::kUp);
+      fleet.SetPlatform(random.Below(2) == 0 ? PlatformState::kLosesAnswers : PlatformState::kUp);
       break;
     case 5:
-      world.CutZone(ZoneId("zone-2"), random.Below(2) == 0);
+      fleet.CutZone(ZoneId("zone-2"), random.Below(2) == 0);
       break;
     default:
       break;
   }
 }
 
-// Every second request is not repeatable; its key goes to two nodes.
-void SubmitRandom(SimulatedFleet& world, const std::vector<ModelRow>& rows, Random& random) {
-  const std::vector<NodeId> nodes = world.nodes();
-  RouteRequest request = Request(world, rows[random.Below(rows.size())].name.value());
+// About half of the requests are not repeatable; each of them is sent to two nodes with the same
+// key.
+void SubmitRandom(SimulatedFleet& fleet, const std::vector<ModelRow>& rows, Random& random) {
+  const std::vector<NodeId> nodes = fleet.nodes();
+  RouteRequest request = Request(fleet, rows[random.Below(rows.size())].name.value());
   request.repeatable = random.Below(2) == 0;
   if (!request.repeatable) {
-    request.key = MakeKey(world.WallTime(), &random);
-    world.Submit(nodes[random.Below(nodes.size())], request);
+    request.key = MakeKey(fleet.WallTime(), &random);
+    fleet.Submit(nodes[random.Below(nodes.size())], request);
   }
-  world.Submit(nodes[random.Below(nodes.size())], request);
+  fleet.Submit(nodes[random.Below(nodes.size())], request);
 }
 
-void HealAll(SimulatedFleet& world) {
-  for (const NodeId& node : world.nodes()) {
-    if (world.core(node) == nullptr) {
-      world.Restart(node);
+void HealAll(SimulatedFleet& fleet) {
+  for (const NodeId& node : fleet.nodes()) {
+    if (fleet.core(node) == nullptr) {
+      fleet.Restart(node);
     }
-    world.Continue(node);
+    fleet.Continue(node);
   }
-  world.CutZone(ZoneId("zone-2"), false);
-  world.SetPlatform(PlatformState::kUp);
+  fleet.CutZone(ZoneId("zone-2"), false);
+  fleet.SetPlatform(PlatformState::kUp);
 }
 
-// Faults at random instants while requests come in; then all heals, and every request must end.
+// Injects random faults under load, then removes all faults; every request must end.
 Violations RunRandomFaults(std::uint64_t seed, const CoreOptions& core) {
-  SimulatedFleetOptions options = SmallWorld();
+  SimulatedFleetOptions options = SmallFleetOptions();
   options.seed = seed;
   options.loss = 0.05;
   options.duplication = 0.05;
   options.core = core;
-  SimulatedFleet world(options);
+  SimulatedFleet fleet(options);
   std::vector<ModelRow> rows;
   for (int row = 0; row < 12; ++row) {
     rows.push_back(Row(absl::StrCat("model-", row), 1 + row % 3));
   }
-  Start(world, rows);
+  Start(fleet, rows);
   Random random(seed);
   constexpr int kSteps = 60;
   constexpr int kRequestsPerStep = 6;
   for (int step = 0; step < kSteps; ++step) {
-    InjectFault(world, random);
+    InjectFault(fleet, random);
     for (int request = 0; request < kRequestsPerStep; ++request) {
-      SubmitRandom(world, rows, random);
+      SubmitRandom(fleet, rows, random);
     }
-    world.RunFor(absl::Milliseconds(500));
+    fleet.RunFor(absl::Milliseconds(500));
   }
-  HealAll(world);
-  CHECK(world.RunUntil([&] { return world.open_requests() == 0; }, kBound));
-  CHECK(world.RunUntil([&] { return world.AllReady() && world.Converged(); }, kBound));
-  MESSAGE("seed ", seed, ": ", world.requests().answered, " of ", world.requests().submitted,
-          " answered, ", world.loads_begun(), " loads");
-  return FindViolations(world, rows);
+  HealAll(fleet);
+  CHECK(fleet.RunUntil([&] { return fleet.open_requests() == 0; }, kBound));
+  CHECK(fleet.RunUntil([&] { return fleet.AllReady() && fleet.Converged(); }, kBound));
+  MESSAGE("seed ", seed, ": ", fleet.requests().answered, " of ", fleet.requests().submitted,
+          " answered, ", fleet.loads_begun(), " loads");
+  return FindViolations(fleet, rows);
 }
 
 constexpr std::uint64_t kSeeds = 5;
 
-// Whether some seed finds a violation of this kind; stops at the first.
+// Returns true if some seed finds a violation of this kind. Stops at the first one.
 bool SomeSeedFinds(const CoreOptions& core, const std::function<bool(const Violations&)>& kind) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     if (kind(RunRandomFaults(seed, core))) {
--- a/tests/node/one_node.cc
+++ b/tests/node/one_node.cc
@@ -120,7 +120,7 @@
   return std::vector<StoredValue>();
 }
 
-Result<MachineListing> OneMachine::Read(const ZoneId& zone, absl::Duration) {
+Result<MachineListing> SingleWorkerMachineList::Read(const ZoneId& zone, absl::Duration) {
   absl::MutexLock lock(&mutex_);
   MachineListing listing;
   listing.nodes = other_nodes;
@@ -128,10 +128,10 @@
   return listing;
 }
 
-Result<bool> OneMachine::Announce(const NodeMachine&, absl::Duration) { return true; }
+Result<bool> SingleWorkerMachineList::Announce(const NodeMachine&, absl::Duration) { return true; }
 
-Result<bool> OneMachine::AnnounceWorker(const WorkerId& worker, MachineState state,
-                                        absl::Duration) {
+Result<bool> SingleWorkerMachineList::AnnounceWorker(const WorkerId& worker, MachineState state,
+                                                     absl::Duration) {
   if (announce_error != Error::kOk) {
     return announce_error;
   }
--- a/tests/node/one_node.h
+++ b/tests/node/one_node.h
@@ -1,5 +1,5 @@
-// One node with its HTTP front ends, before stand-ins of engine, table service and machine list
-// that live in the test.
+// A node with its HTTP front ends and in-process fakes of the engine, the table service and the
+// machine list.
 #ifndef HINGESPAN_TESTS_NODE_ONE_NODE_H_
 #define HINGESPAN_TESTS_NODE_ONE_NODE_H_
 
@@ -26,7 +26,7 @@
 
 namespace hingespan {
 
-// Every wait of these tests ends by then.
+// Time limit of every wait in these tests.
 inline constexpr absl::Duration kTestLimit = absl::Seconds(30);
 
 class MemoryTable : public TableService {
@@ -47,16 +47,16 @@
   absl::btree_map<std::string, StoredValue> values_ ABSL_GUARDED_BY(mutex_);
 };
 
-// One worker, w1.
-class OneMachine : public MachineList {
+// Machine list with the single worker w1.
+class SingleWorkerMachineList : public MachineList {
  public:
   Result<MachineListing> Read(const ZoneId& zone, absl::Duration) override;
   Result<bool> Announce(const NodeMachine& machine, absl::Duration) override;
   Result<bool> AnnounceWorker(const WorkerId& worker, MachineState state, absl::Duration) override;
 
-  // Nodes of other zones; to be set before the first read.
+  // Nodes of other zones. Must be set before the first read.
   std::vector<NodeMachine> other_nodes;
-  // What AnnounceWorker answers, where it has an error; to be set before the calls.
+  // Error that AnnounceWorker returns, if any. Must be set before the calls.
   Error announce_error = Error::kOk;
 
  private:
@@ -64,13 +64,13 @@
   MachineState worker_state_ ABSL_GUARDED_BY(mutex_) = MachineState::kLive;
 };
 
-// Loads at once; runs requests as the test says.
+// Fake engine that loads immediately and generates with a function set by the test.
 class TestEngine : public EngineClient {
  public:
   using GenerateFunction =
       std::function<GenerationResult(const GenerationRequest&, absl::Time, const ChunkSink&)>;
 
-  // By default an answer of two tokens.
+  // Sets the generate function. The default returns an answer of two tokens.
   void SetGenerate(GenerateFunction generate);
 
   Result<EngineStatus> Fence(const std::string&, WorkerIncarnation, KeeperEpoch epoch,
@@ -97,11 +97,11 @@
   std::string operator_key;
   std::string cluster_key;
   absl::Duration row_wait = kTestLimit;
-  // HTTP addresses of nodes n2, n3 and so on in zone z2, which then serves "m" alone.
+  // HTTP addresses of the nodes n2, n3 and so on in zone z2. If set, only zone z2 serves "m".
   std::vector<std::string> other_zone;
 };
 
-// The node serves model "m" and is ready when built.
+// A node that serves the model "m" and is ready once constructed.
 class OneNode {
  public:
   explicit OneNode(const OneNodeOptions& options = OneNodeOptions());
@@ -110,8 +110,8 @@
   const std::string& address() const { return address_; }
   TestEngine& engine() { return engine_; }
   CoreDriver& driver() { return *driver_; }
-  OneMachine& machines() { return machines_; }
-  // Waits until `holds` of the core; false at the limit.
+  SingleWorkerMachineList& machines() { return machines_; }
+  // Waits until `holds` returns true for the core. Returns false at the time limit.
   bool WaitUntil(const std::function<bool(const NodeCore&)>& holds);
 
   std::atomic<int> stops_begun = 0;
@@ -120,10 +120,10 @@
   bool KnowsOtherNodes(const NodeCore& core) const;
 
   MemoryTable table_;
-  OneMachine machines_;
+  SingleWorkerMachineList machines_;
   TestEngine engine_;
   UdpTransport transport_;
-  // Control address of the other zone's nodes, which never answer.
+  // Control address of the nodes of the other zone; it never answers.
   UdpTransport silent_transport_;
   HttpServer server_;
   RequestForwarder forwarder_;
--- a/tests/node/request_forwarder_test.cc
+++ b/tests/node/request_forwarder_test.cc
@@ -1,5 +1,5 @@
-// Refusals of another zone's node: which ones reach the caller as they are, and which ones lead to
-// another node.
+// Refusals by a node of another zone: some are passed on to the caller unchanged, others lead to an
+// attempt at another node.
 #include "hingespan/node/request_forwarder.h"
 
 #include <doctest/doctest.h>
@@ -23,14 +23,14 @@
 
 constexpr char kChat[] = R"({"model":"m","messages":[{"role":"user","content":"hi"}]})";
 
-// Plays the HTTP side of a node in another zone; every request gets the same refusal.
+// Fake HTTP server of a node in another zone that answers every request with the same refusal.
 class RefusingNode {
  public:
   explicit RefusingNode(const Refusal& refusal) {
     server_.Post("/v1/chat/completions",
                  [this, refusal](const httplib::Request& request, httplib::Response& response) {
                    ++requests;
-                   told_caller_key = told_caller_key || request.has_header("Authorization");
+                   received_caller_key = received_caller_key || request.has_header("Authorization");
                    FillRefusal(refusal, &response);
                  });
     port_ = server_.bind_to_any_port("127.0.0.1");
@@ -46,7 +46,7 @@
   std::string address() const { return absl::StrCat("127.0.0.1:", port_); }
 
   std::atomic<int> requests = 0;
-  std::atomic<bool> told_caller_key = false;
+  std::atomic<bool> received_caller_key = false;
 
  private:
   httplib::Server server_;
@@ -54,15 +54,15 @@
   std::thread thread_;
 };
 
-// Takes nothing: refusals come before any output.
+// Accepts no output, because refusals come before any output.
 class NoAnswer : public CallerAnswer {
  public:
   void BeginAttempt(const AnswerIdentity&) override {}
   bool AddChunk(const GenerationChunk&) override { return false; }
-  bool PassOn(std::string_view) override { return false; }
+  bool Relay(std::string_view) override { return false; }
   void Complete() override {}
   void Refuse(const Refusal&) override {}
-  void EndedByOther() override {}
+  void EndAfterRemoteError() override {}
   bool started() const override { return false; }
   bool caller_gone() const override { return false; }
 };
@@ -89,7 +89,7 @@
   return ForwardTo(node.address());
 }
 
-TEST_CASE("final refusals come back whole, whatever they say of the attempt and the key") {
+TEST_CASE("final refusals are returned complete, for every state of the attempt and the key") {
   for (const RefusalCode code :
        {RefusalCode::kKeyAlreadyClaimed, RefusalCode::kKeyUndecided, RefusalCode::kKeyOutOfTime,
         RefusalCode::kWaitHopeless, RefusalCode::kWaitExpired, RefusalCode::kDeadlineExceeded,
@@ -120,7 +120,7 @@
     options.caller_key = "caller secret";
     ForwardTo(node.address(), options);
     CHECK(node.requests == 1);
-    CHECK(node.told_caller_key == cluster_key.empty());
+    CHECK(node.received_caller_key == cluster_key.empty());
   }
 }
 
@@ -138,7 +138,7 @@
   }
 }
 
-TEST_CASE("an error answer that is no node's refusal says nothing of the attempt") {
+TEST_CASE("an error answer that is not the refusal of a node does not count as not run") {
   httplib::Server server;
   std::string body;
   int status = 0;
@@ -205,11 +205,11 @@
   CHECK(Json::parse(answer->body)["error"]["attempt"] == "not_run");
 }
 
-TEST_CASE("after an attempt that may have run, the caller is told so, whoever refuses then") {
+TEST_CASE("a refusal after an attempt that may have run says so, whichever node refuses") {
   Refusal broken = MakeRefusal(RefusalCode::kEngineFailed);
   broken.attempt = RunState::kMayHaveRun;
   Refusal hopeless = MakeRefusal(RefusalCode::kWaitHopeless);
-  // Both nodes' addresses lead here: the first request breaks, the second is refused.
+  // Both node addresses point to this server: the first request fails, the second is refused.
   std::atomic<int> asked = 0;
   httplib::Server server;
   server.Post("/v1/chat/completions", [&](const httplib::Request&, httplib::Response& response) {
--- a/tests/node/restarted_node_test.cc
+++ b/tests/node/restarted_node_test.cc
@@ -1,4 +1,4 @@
-// What a restarted node takes from the platform, in virtual time.
+// Reads of the platform by a restarted node, in virtual time.
 #include <doctest/doctest.h>
 
 #include "absl/strings/str_cat.h"
@@ -18,47 +18,47 @@
   return options;
 }
 
-void WriteRows(SimulatedFleet* world) {
+void WriteRows(SimulatedFleet* fleet) {
   std::vector<ModelRow> rows;
   for (int number = 0; number < kRows; ++number) {
     ModelRow& row = rows.emplace_back();
     row.name = ModelName(absl::StrCat("model-", number));
     row.memory_mib = 4096;
   }
-  world->WriteRows(rows, 10);
+  fleet->WriteRows(rows, 10);
 }
 
 TEST_CASE("a restarted node takes the table from its zone, not from the platform") {
-  SimulatedFleet world(OneZone(6));
-  REQUIRE(world.RunUntil([&] { return world.AllReady(); }, kBound));
-  WriteRows(&world);
-  REQUIRE(world.RunUntil([&] { return world.Converged(); }, kBound));
-  world.RunFor(absl::Seconds(10));
-  // One of them is the zone's reader.
-  for (const NodeId& node : world.nodes()) {
+  SimulatedFleet fleet(OneZone(6));
+  REQUIRE(fleet.RunUntil([&] { return fleet.AllReady(); }, kBound));
+  WriteRows(&fleet);
+  REQUIRE(fleet.RunUntil([&] { return fleet.Converged(); }, kBound));
+  fleet.RunFor(absl::Seconds(10));
+  // One of these nodes is the zone's reader.
+  for (const NodeId& node : fleet.nodes()) {
     CAPTURE(node.value());
-    world.Kill(node);
-    world.RunFor(absl::Seconds(10));
-    const std::uint64_t before = world.usage(node).table_bytes_read;
-    world.Restart(node);
-    REQUIRE(world.RunUntil([&] { return world.AllReady() && world.Converged(); }, kBound));
-    world.RunFor(absl::Seconds(10));
-    CHECK(world.usage(node).table_bytes_read - before == 0);
+    fleet.Kill(node);
+    fleet.RunFor(absl::Seconds(10));
+    const std::uint64_t before = fleet.usage(node).table_bytes_read;
+    fleet.Restart(node);
+    REQUIRE(fleet.RunUntil([&] { return fleet.AllReady() && fleet.Converged(); }, kBound));
+    fleet.RunFor(absl::Seconds(10));
+    CHECK(fleet.usage(node).table_bytes_read - before == 0);
   }
 }
 
-TEST_CASE("the first node of a zone reads the platform, though no seed answers") {
-  SimulatedFleet world(OneZone(2));
-  WriteRows(&world);
-  REQUIRE(world.RunUntil([&] { return world.AllReady() && world.Converged(); }, kBound));
-  for (const NodeId& node : world.nodes()) {
-    world.Kill(node);
+TEST_CASE("the first node of a zone reads the platform even if no seed answers") {
+  SimulatedFleet fleet(OneZone(2));
+  WriteRows(&fleet);
+  REQUIRE(fleet.RunUntil([&] { return fleet.AllReady() && fleet.Converged(); }, kBound));
+  for (const NodeId& node : fleet.nodes()) {
+    fleet.Kill(node);
   }
-  const NodeId first = world.nodes().front();
-  const std::uint64_t before = world.usage(first).table_bytes_read;
-  world.Restart(first);
-  CHECK(world.RunUntil([&] { return world.AllReady() && world.Converged(); }, kBound));
-  CHECK(world.usage(first).table_bytes_read > before);
+  const NodeId first = fleet.nodes().front();
+  const std::uint64_t before = fleet.usage(first).table_bytes_read;
+  fleet.Restart(first);
+  CHECK(fleet.RunUntil([&] { return fleet.AllReady() && fleet.Converged(); }, kBound));
+  CHECK(fleet.usage(first).table_bytes_read > before);
 }
 
 }  // namespace
--- a/tests/node/row_takeover_test.cc
+++ b/tests/node/row_takeover_test.cc
@@ -8,7 +8,7 @@
 
 namespace hingespan {
 
-TEST_CASE("the rows of a member that has gone are found, a bounded number of records a step") {
+TEST_CASE("the rows of a member that left are found in steps of bounded size") {
   constexpr int kRows = 400;
   constexpr std::size_t kKeysAtMost = 50;
   const NodeId self("n0");
@@ -42,7 +42,7 @@
   search();
   found.clear();
   takeover.SetMembers(after);
-  // The last step finds that nothing is left.
+  // The last step finds no more records.
   CHECK(search() == kRows / static_cast<int>(kKeysAtMost) + 1);
   CHECK(found == expected);
   CHECK(most <= kKeysAtMost);
--- a/tests/node/worker_heartbeat_test.cc
+++ b/tests/node/worker_heartbeat_test.cc
@@ -1,4 +1,4 @@
-// Heartbeats between whole cores: what is unchanged stays usable, what was lost is repaired.
+// Heartbeats between complete cores keep unchanged workers usable and repair lost reports.
 #include <doctest/doctest.h>
 
 #include "tests/simulation/simulated_fleet.h"
@@ -6,26 +6,26 @@
 namespace hingespan::simulation {
 namespace {
 
-struct SettledWorld {
+struct SettledFleet {
   static SimulatedFleetOptions Options() {
     SimulatedFleetOptions options;
     options.zones = 1;
-    // Heartbeats alone repair what was lost: reports are not repeated.
+    // Reports are not repeated, so that only heartbeats can repair what was lost.
     options.core.keeper.report_interval = absl::Minutes(5);
     return options;
   }
   SimulatedFleetOptions options = Options();
-  SimulatedFleet world{options};
+  SimulatedFleet fleet{options};
 
-  SettledWorld() {
-    REQUIRE(world.RunUntil([&] { return world.AllReady() && AllUsable(); }, absl::Seconds(60)));
+  SettledFleet() {
+    REQUIRE(fleet.RunUntil([&] { return fleet.AllReady() && AllUsable(); }, absl::Seconds(60)));
   }
   bool AllUsable() const {
-    for (const NodeId& node : world.nodes()) {
-      const ReplicaDirectory& directory = world.core(node)->directory();
-      for (const WorkerId& worker : world.workers()) {
+    for (const NodeId& node : fleet.nodes()) {
+      const ReplicaDirectory& directory = fleet.core(node)->directory();
+      for (const WorkerId& worker : fleet.workers()) {
         const KnownWorker* known = directory.Find(worker);
-        if (known == nullptr || !directory.MayReceiveWork(*known, world.now())) {
+        if (known == nullptr || !directory.MayReceiveWork(*known, fleet.now())) {
           return false;
         }
       }
@@ -33,8 +33,8 @@
     return true;
   }
   bool AllKnow(const WorkerId& worker, WorkerIncarnation incarnation) const {
-    for (const NodeId& node : world.nodes()) {
-      const KnownWorker* known = world.core(node)->directory().Find(worker);
+    for (const NodeId& node : fleet.nodes()) {
+      const KnownWorker* known = fleet.core(node)->directory().Find(worker);
       if (known == nullptr || known->report.incarnation != incarnation) {
         return false;
       }
@@ -43,21 +43,21 @@
   }
 };
 
-TEST_CASE_FIXTURE(SettledWorld, "unchanged workers stay usable at every node") {
-  CHECK_FALSE(world.RunUntil([&] { return !AllUsable(); }, absl::Seconds(60)));
+TEST_CASE_FIXTURE(SettledFleet, "unchanged workers stay usable at every node") {
+  CHECK_FALSE(fleet.RunUntil([&] { return !AllUsable(); }, absl::Seconds(60)));
 }
 
-TEST_CASE_FIXTURE(SettledWorld, "a report that all nodes missed reaches them by heartbeats") {
-  const WorkerId worker = world.workers().front();
-  const NodeId any = world.nodes().front();
-  const WorkerIncarnation before = world.core(any)->directory().Find(worker)->report.incarnation;
-  world.SetLoss(1.0);
-  world.RestartEngine(worker);
-  world.RunFor(absl::Seconds(2));
+TEST_CASE_FIXTURE(SettledFleet, "a report that all nodes missed reaches them by heartbeats") {
+  const WorkerId worker = fleet.workers().front();
+  const NodeId any = fleet.nodes().front();
+  const WorkerIncarnation before = fleet.core(any)->directory().Find(worker)->report.incarnation;
+  fleet.SetLoss(1.0);
+  fleet.RestartEngine(worker);
+  fleet.RunFor(absl::Seconds(2));
   REQUIRE_FALSE(AllKnow(worker, before));
   REQUIRE_FALSE(AllKnow(worker, before.Next()));
-  world.SetLoss(0.0);
-  CHECK(world.RunUntil([&] { return AllKnow(worker, before.Next()) && AllUsable(); },
+  fleet.SetLoss(0.0);
+  CHECK(fleet.RunUntil([&] { return AllKnow(worker, before.Next()) && AllUsable(); },
                        options.core.keeper.heartbeat_interval + absl::Milliseconds(200)));
 }
 
--- a/tests/node/worker_leave_test.cc
+++ b/tests/node/worker_leave_test.cc
@@ -1,4 +1,5 @@
-// A worker's leave, as nodes learn it from the machine list: neither missed nor taken back.
+// Nodes learn a worker's leave from the machine list; a leave must be neither missed nor undone by
+// outdated messages.
 #include <doctest/doctest.h>
 
 #include "tests/simulation/simulated_fleet.h"
@@ -13,7 +14,7 @@
 const NodeId kSelf("n1");
 const NodeId kPeer("n2");
 
-// One core that knows a peer and a reported worker; the test plays all others.
+// A core that knows one peer and one reported worker. The test simulates all other parts.
 struct OneCore {
   NodeCore core;
   Outbox outbox;
@@ -49,10 +50,10 @@
     report.base_url = "w1";
     From(kPeer, kZone, report);
   }
-  void PeerSays(MachineState state) {
+  void ReceiveFromPeer(MachineState state) {
     From(kPeer, kZone, MachineListUpdate{{}, {{kWorker, kZone, "w1", state}}});
   }
-  // The number of the platform call that reads the machine list next.
+  // Starts a read of the machine list and returns the id of the platform call.
   std::uint64_t ReadMachines() {
     now += CoreOptions().machine_list_interval * 20;
     outbox = Outbox();
@@ -66,7 +67,7 @@
     FAIL("the machine list is not read");
     return 0;
   }
-  void PlatformSays(std::uint64_t call, MachineState state) {
+  void ReceiveFromPlatform(std::uint64_t call, MachineState state) {
     PlatformAnswer answer{call, CallOwner::kMachines};
     answer.value = MachineListing{{}, {{kWorker, kZone, "w1", state}}};
     core.HandlePlatformAnswer(answer, now, kWallTime, &outbox);
@@ -83,51 +84,51 @@
   }
 };
 
-TEST_CASE("a peer's late machine list takes no leave back") {
+TEST_CASE("an outdated machine list of a peer does not undo a leave") {
   for (const MachineState state : {MachineState::kLeaving, MachineState::kGone}) {
     OneCore node;
-    node.PeerSays(MachineState::kLive);
+    node.ReceiveFromPeer(MachineState::kLive);
     REQUIRE(node.MayReceiveWork());
-    node.PeerSays(state);
+    node.ReceiveFromPeer(state);
     CHECK_FALSE(node.MayReceiveWork());
-    node.PeerSays(MachineState::kLive);
+    node.ReceiveFromPeer(MachineState::kLive);
     CHECK_FALSE(node.MayReceiveWork());
   }
 }
 
 TEST_CASE("a restarted engine, or this node's own read, makes a leaving worker live again") {
   OneCore restarted;
-  restarted.PeerSays(MachineState::kLeaving);
+  restarted.ReceiveFromPeer(MachineState::kLeaving);
   restarted.Report(2);
   CHECK_FALSE(restarted.MayReceiveWork());
-  restarted.PeerSays(MachineState::kLive);
+  restarted.ReceiveFromPeer(MachineState::kLive);
   CHECK(restarted.MayReceiveWork());
 
   OneCore reader;
-  reader.PeerSays(MachineState::kLeaving);
-  reader.PlatformSays(reader.ReadMachines(), MachineState::kLive);
+  reader.ReceiveFromPeer(MachineState::kLeaving);
+  reader.ReceiveFromPlatform(reader.ReadMachines(), MachineState::kLive);
   CHECK(reader.MayReceiveWork());
 }
 
-TEST_CASE("a late answer of the platform takes no leave back") {
+TEST_CASE("an outdated answer of the platform does not undo a leave") {
   OneCore node;
   const std::uint64_t first = node.ReadMachines();
   const std::uint64_t second = node.ReadMachines();
-  node.PlatformSays(second, MachineState::kLeaving);
-  node.PlatformSays(first, MachineState::kLive);
+  node.ReceiveFromPlatform(second, MachineState::kLeaving);
+  node.ReceiveFromPlatform(first, MachineState::kLive);
   CHECK_FALSE(node.MayReceiveWork());
 }
 
 TEST_CASE("a gone worker stays gone") {
   OneCore node;
-  node.PeerSays(MachineState::kGone);
-  node.PlatformSays(node.ReadMachines(), MachineState::kLive);
+  node.ReceiveFromPeer(MachineState::kGone);
+  node.ReceiveFromPlatform(node.ReadMachines(), MachineState::kLive);
   CHECK_FALSE(node.MayReceiveWork());
 }
 
-TEST_CASE("only members of the zone are answered and believed about machines") {
+TEST_CASE("machine lists are sent to and accepted from members of the zone only") {
   OneCore node;
-  node.PeerSays(MachineState::kLive);
+  node.ReceiveFromPeer(MachineState::kLive);
   node.outbox = Outbox();
   node.From(NodeId("stranger"), kZone, MachineListUpdate{});
   node.From(NodeId("far"), ZoneId("z2"), MachineListUpdate{});
@@ -147,91 +148,92 @@
   CHECK(node.MachineListsSent() == 0);
 }
 
-TEST_CASE("nodes that missed a leave hear of it with the reader's next read") {
+TEST_CASE("nodes that missed a leave receive it with the reader's next read") {
   SimulatedFleetOptions options;
-  // Of the leave the machine list alone tells: keepers report too seldom.
+  // Only the machine list announces the leave, because keepers report too seldom.
   options.core.keeper.report_interval = absl::Minutes(5);
   options.core.keeper.heartbeat_interval = absl::Minutes(5);
   options.core.directory.report_timeout = absl::Minutes(10);
-  SimulatedFleet world(options);
-  REQUIRE(world.RunUntil([&] { return world.AllReady(); }, absl::Seconds(60)));
-  const WorkerId worker = world.workers().front();
+  SimulatedFleet fleet(options);
+  REQUIRE(fleet.RunUntil([&] { return fleet.AllReady(); }, absl::Seconds(60)));
+  const WorkerId worker = fleet.workers().front();
   const auto nodes_that_may_use_it = [&] {
     int count = 0;
-    for (const NodeId& node : world.nodes()) {
-      const ReplicaDirectory& directory = world.core(node)->directory();
+    for (const NodeId& node : fleet.nodes()) {
+      const ReplicaDirectory& directory = fleet.core(node)->directory();
       const KnownWorker* known = directory.Find(worker);
-      count += known != nullptr && directory.MayReceiveWork(*known, world.now()) ? 1 : 0;
+      count += known != nullptr && directory.MayReceiveWork(*known, fleet.now()) ? 1 : 0;
     }
     return count;
   };
-  REQUIRE(world.RunUntil([&] { return nodes_that_may_use_it() == options.nodes_per_zone; },
+  REQUIRE(fleet.RunUntil([&] { return nodes_that_may_use_it() == options.nodes_per_zone; },
                          absl::Seconds(60)));
-  // All nodes read the list at their start; then only the reader does for a while.
-  world.RunFor(absl::Seconds(40));
-  world.SetWorkerState(worker, MachineState::kLeaving);
-  world.SetLoss(1.0);
-  REQUIRE(world.RunUntil([&] { return nodes_that_may_use_it() < options.nodes_per_zone; },
+  // All nodes read the list at their start. Afterwards only the reader reads it for a while.
+  fleet.RunFor(absl::Seconds(40));
+  fleet.SetWorkerState(worker, MachineState::kLeaving);
+  fleet.SetLoss(1.0);
+  REQUIRE(fleet.RunUntil([&] { return nodes_that_may_use_it() < options.nodes_per_zone; },
                          absl::Seconds(40)));
-  world.RunFor(absl::Milliseconds(100));
+  fleet.RunFor(absl::Milliseconds(100));
   REQUIRE(nodes_that_may_use_it() > 0);
-  world.SetLoss(0.0);
-  world.RunFor(options.core.machine_list_interval + absl::Milliseconds(100));
+  fleet.SetLoss(0.0);
+  fleet.RunFor(options.core.machine_list_interval + absl::Milliseconds(100));
   CHECK(nodes_that_may_use_it() == 0);
 }
 
-int NodesThatMayUse(const SimulatedFleet& world, const WorkerId& worker) {
+int NodesThatMayUse(const SimulatedFleet& fleet, const WorkerId& worker) {
   int count = 0;
-  for (const NodeId& node : world.nodes()) {
-    const ReplicaDirectory& directory = world.core(node)->directory();
+  for (const NodeId& node : fleet.nodes()) {
+    const ReplicaDirectory& directory = fleet.core(node)->directory();
     const KnownWorker* known = directory.Find(worker);
-    count += known != nullptr && directory.MayReceiveWork(*known, world.now()) ? 1 : 0;
+    count += known != nullptr && directory.MayReceiveWork(*known, fleet.now()) ? 1 : 0;
   }
   return count;
 }
 
-// A dispatch there would begin a request at an engine that the platform is about to end.
-TEST_CASE("half of all messages lost: no node uses a leaving worker from three seconds on") {
+// Guards against dispatches to a leaving worker, which would start a request at an engine that the
+// platform is about to end.
+TEST_CASE("with half of all messages lost no node uses a leaving worker after three seconds") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     CAPTURE(seed);
     SimulatedFleetOptions options;
     options.seed = seed;
-    SimulatedFleet world(options);
-    REQUIRE(world.RunUntil([&] { return world.AllReady(); }, absl::Seconds(60)));
-    // Each seed's leave comes at another moment between two reads of the list.
-    world.RunFor(absl::Seconds(5) + options.core.machine_list_interval * seed / 8);
-    world.SetLoss(0.5);
-    const WorkerId worker = world.workers().front();
-    world.SetWorkerState(worker, MachineState::kLeaving);
-    const absl::Time left = world.now();
+    SimulatedFleet fleet(options);
+    REQUIRE(fleet.RunUntil([&] { return fleet.AllReady(); }, absl::Seconds(60)));
+    // The leave of each seed falls at a different time between two reads of the list.
+    fleet.RunFor(absl::Seconds(5) + options.core.machine_list_interval * seed / 8);
+    fleet.SetLoss(0.5);
+    const WorkerId worker = fleet.workers().front();
+    fleet.SetWorkerState(worker, MachineState::kLeaving);
+    const absl::Time left = fleet.now();
     absl::Time last_use = left;
     const auto note_use = [&] {
-      last_use = NodesThatMayUse(world, worker) > 0 ? world.now() : last_use;
+      last_use = NodesThatMayUse(fleet, worker) > 0 ? fleet.now() : last_use;
       return false;
     };
-    world.RunUntil(note_use, absl::Seconds(50));
+    fleet.RunUntil(note_use, absl::Seconds(50));
     MESSAGE("seed ", seed, ": last use ", absl::ToDoubleSeconds(last_use - left), " s after");
     CHECK(last_use - left <= absl::Seconds(3));
   }
 }
 
-TEST_CASE("a leave that the platform takes back is taken back everywhere, for good") {
+TEST_CASE("a leave that the platform withdraws is withdrawn permanently at all nodes") {
   SimulatedFleetOptions options;
-  SimulatedFleet world(options);
-  REQUIRE(world.RunUntil([&] { return world.AllReady(); }, absl::Seconds(60)));
-  const WorkerId worker = world.workers().front();
+  SimulatedFleet fleet(options);
+  REQUIRE(fleet.RunUntil([&] { return fleet.AllReady(); }, absl::Seconds(60)));
+  const WorkerId worker = fleet.workers().front();
   const auto used_by = [&](int count) {
-    return world.RunUntil([&] { return NodesThatMayUse(world, worker) == count; },
+    return fleet.RunUntil([&] { return NodesThatMayUse(fleet, worker) == count; },
                           absl::Seconds(60));
   };
   REQUIRE(used_by(options.nodes_per_zone));
   for (int leave = 1; leave <= 2; ++leave) {
-    world.SetWorkerState(worker, MachineState::kLeaving);
+    fleet.SetWorkerState(worker, MachineState::kLeaving);
     REQUIRE(used_by(0));
-    world.SetWorkerState(worker, MachineState::kLive);
+    fleet.SetWorkerState(worker, MachineState::kLive);
     REQUIRE(used_by(options.nodes_per_zone));
     CHECK_FALSE(
-        world.RunUntil([&] { return NodesThatMayUse(world, worker) < options.nodes_per_zone; },
+        fleet.RunUntil([&] { return NodesThatMayUse(fleet, worker) < options.nodes_per_zone; },
                        absl::Seconds(35)));
   }
 }
