--- a/bench/overhead.cc
+++ b/bench/overhead.cc
@@ -1,5 +1,6 @@
-// What a node adds to a warm request, against calling the engine straight, in one run: wait for the
-// first token, processor time and resident memory, with 1 and with 150 open streams. See README.md.
+// Measures the overhead of a node on a warm request, compared with direct calls to the engine in
+// the same run: time to first token, processor time and resident memory, with 1 and with 150 open
+// streams. See README.md.
 #include <unistd.h>
 
 #include <algorithm>
@@ -35,12 +36,13 @@
 constexpr char kNode[] = "z1-n1";
 constexpr char kModel[] = "bench-model";
 constexpr absl::Duration kCallTimeout = absl::Seconds(5);
-constexpr absl::Duration kWarmUpLimit = absl::Seconds(15);
-constexpr absl::Duration kRequestLimit = absl::Seconds(20);
+constexpr absl::Duration kWarmUpTimeout = absl::Seconds(15);
+constexpr absl::Duration kRequestTimeout = absl::Seconds(20);
 constexpr absl::Duration kIdleTime = absl::Seconds(2);
 constexpr absl::Duration kWarmUpRetry = absl::Milliseconds(100);
 
-// One load: `streams` callers, each of which sends its next request when the last has ended.
+// One load: `streams` callers, each of which sends its next request when the previous one has
+// ended.
 struct Phase {
   int streams = 1;
   double token_interval_ms = 2;
@@ -48,7 +50,7 @@
   absl::Duration duration;
 };
 
-// What callers saw, and what the node used meanwhile.
+// Results seen by the callers, and the processor time that the node used meanwhile.
 struct Measurement {
   std::vector<double> first_token_ms;
   std::size_t tokens = 0;
@@ -58,8 +60,8 @@
 };
 
 struct CallOutcome {
-  bool whole = false;
-  // Why not.
+  bool complete = false;
+  // Reason why the answer was incomplete or wrong.
   std::string problem;
   absl::Duration first_token;
   int tokens = 0;
@@ -72,7 +74,7 @@
   std::exit(EXIT_FAILURE);
 }
 
-// User and system time of a process: fields 14 and 15 of /proc/PID/stat.
+// Returns the user and system time of a process: fields 14 and 15 of /proc/PID/stat.
 absl::Duration ProcessorTime(pid_t pid) {
   std::ifstream file(absl::StrCat("/proc/", pid, "/stat"));
   std::string text;
@@ -89,7 +91,7 @@
   return absl::Seconds((user + system) / static_cast<double>(sysconf(_SC_CLK_TCK)));
 }
 
-// A field of /proc/PID/status in KiB, e.g. "VmRSS:".
+// Returns a field of /proc/PID/status in KiB, e.g. "VmRSS:".
 std::int64_t MemoryKib(pid_t pid, const std::string& field) {
   std::ifstream file(absl::StrCat("/proc/", pid, "/status"));
   std::string name;
@@ -103,7 +105,7 @@
   return 0;
 }
 
-// An emulated engine, and one node before it that holds one warm replica.
+// An emulated engine behind one node, with one warm replica.
 class WarmCluster {
  public:
   explicit WarmCluster(double token_interval_ms) : cluster_(MakeOptions(token_interval_ms)) {
@@ -121,13 +123,13 @@
     CallerRequest request;
     request.model = kModel;
     request.max_tokens = max_tokens;
-    request.time_limit = kRequestLimit;
+    request.time_limit = kRequestTimeout;
     const CallerResult result = CallerClient(node_.http_address).Send(request);
-    const bool whole = result.outcome == CallerOutcome::kAnswered && !result.wrong;
+    const bool complete = result.outcome == CallerOutcome::kAnswered && !result.wrong;
     const std::string problem = absl::StrCat(
         std::string(CallerOutcomeName(result.outcome)), " ", result.http_status, " ", result.code,
         " ", result.attempt, " ", result.detail, result.wrong ? " wrong tokens" : "");
-    return CallOutcome{whole, problem, result.first_token, result.tokens};
+    return CallOutcome{complete, problem, result.first_token, result.tokens};
   }
 
   CallOutcome CallEngine(std::uint64_t number, int max_tokens) {
@@ -141,13 +143,14 @@
     const absl::Time start = SystemClock().Now();
     CallOutcome outcome;
     const GenerationResult result = engine_.Generate(
-        engine_url_, request, start + kRequestLimit, [&](const GenerationChunk& chunk) {
+        engine_url_, request, start + kRequestTimeout, [&](const GenerationChunk& chunk) {
           if (!chunk.text.empty() && outcome.tokens++ == 0) {
             outcome.first_token = SystemClock().Now() - start;
           }
           return true;
         });
-    outcome.whole = result.outcome == GenerationOutcome::kComplete && outcome.tokens == max_tokens;
+    outcome.complete =
+        result.outcome == GenerationOutcome::kComplete && outcome.tokens == max_tokens;
     outcome.problem = result.error.message();
     return outcome;
   }
@@ -181,7 +184,7 @@
     HttpTableService table(cluster_.PlatformAddress(ZoneId(kZone)));
     const Result<TransactionResult> result = table.Commit(transaction, kCallTimeout);
     if (!result || !result->committed) {
-      Fail("the table's row could not be written");
+      Fail("writing the table row failed");
     }
   }
 
@@ -200,10 +203,10 @@
   }
 
   void WarmUp() const {
-    const absl::Time end = SystemClock().Now() + kWarmUpLimit;
-    while (!CallNode(1).whole) {
+    const absl::Time end = SystemClock().Now() + kWarmUpTimeout;
+    while (!CallNode(1).complete) {
       if (SystemClock().Now() > end) {
-        Fail(absl::StrCat("the model does not get warm\n", cluster_.ErrorTail(NodeId(kNode))));
+        Fail(absl::StrCat("the model did not become warm\n", cluster_.ErrorTail(NodeId(kNode))));
       }
       absl::SleepFor(kWarmUpRetry);
     }
@@ -223,7 +226,8 @@
   const absl::Duration used_before = ProcessorTime(node_pid);
   const absl::Time start = SystemClock().Now();
   const absl::Time end = start + phase.duration;
-  // All requests take alike: callers that began together would stay in step for ever.
+  // Staggers the callers: as all requests take equally long, callers that started together would
+  // otherwise stay synchronised.
   const absl::Duration request_time =
       absl::Milliseconds(phase.token_interval_ms * phase.max_tokens);
   std::atomic<int> next_caller{0};
@@ -233,7 +237,7 @@
     while (SystemClock().Now() < end) {
       const CallOutcome outcome = call(next_number.fetch_add(1));
       absl::MutexLock lock(&mutex);
-      if (!outcome.whole) {
+      if (!outcome.complete) {
         if (measurement.failures++ == 0) {
           measurement.first_problem = outcome.problem;
         }
@@ -248,7 +252,7 @@
   return measurement;
 }
 
-// Processor time of the node without requests, as a share of one core.
+// Returns the processor time of the node without requests, as a share of one core.
 double IdleShare(pid_t node_pid) {
   const absl::Duration before = ProcessorTime(node_pid);
   absl::SleepFor(kIdleTime);
@@ -274,7 +278,7 @@
                                1000 * milliseconds / tokens);
 }
 
-// First straight to the engine, then through the node.
+// Measures direct calls to the engine first, then calls through the node.
 void RunPhase(const Phase& phase) {
   WarmCluster cluster(phase.token_interval_ms);
   const pid_t pid = cluster.node_pid();
@@ -290,13 +294,13 @@
   PrintRow(phase, "node", node);
   PrintProcessor(node);
   std::cout << "\n";
-  const LatencySummary straight = SummarizeLatencies(direct.first_token_ms);
-  const LatencySummary through = SummarizeLatencies(node.first_token_ms);
+  const LatencySummary engine_latency = SummarizeLatencies(direct.first_token_ms);
+  const LatencySummary node_latency = SummarizeLatencies(node.first_token_ms);
   std::cout << absl::StrFormat(
       "         added: median %.2f ms, p99 %.2f ms; node without requests: %.2f%% of a core, "
       "%.1f MiB; at most %.1f MiB\n",
-      through.p50 - straight.p50, through.p99 - straight.p99, 100 * idle_share,
-      static_cast<double>(resident_idle) / 1024,
+      node_latency.p50 - engine_latency.p50, node_latency.p99 - engine_latency.p99,
+      100 * idle_share, static_cast<double>(resident_idle) / 1024,
       static_cast<double>(MemoryKib(pid, "VmHWM:")) / 1024);
 }
 
--- a/load/admin_client.cc
+++ b/load/admin_client.cc
@@ -15,7 +15,8 @@
 constexpr int kStatusOk = 200;
 constexpr int kStatusWaitExpired = 408;
 
-// The field, if it has the type; else `fallback` (some entries give null).
+// Returns the field if it has the expected type; otherwise `fallback`, since some entries contain
+// null.
 template <typename T>
 T FieldOr(const Json& json, const char* name, T fallback) {
   const auto found = json.find(name);
--- a/load/admin_client.h
+++ b/load/admin_client.h
@@ -1,4 +1,4 @@
-// Client of the emulator's admin address: its log, its counters and its faults.
+// Client of the emulator's admin interface: log, counters and fault injection.
 #ifndef HINGESPAN_LOAD_ADMIN_CLIENT_H_
 #define HINGESPAN_LOAD_ADMIN_CLIENT_H_
 
@@ -14,7 +14,7 @@
 
 namespace hingespan::load {
 
-// One entry of the emulator's log; fields that the event does not have are empty or 0.
+// One entry of the emulator's log; fields that do not apply to the event are empty or 0.
 struct LogEntry {
   std::uint64_t sequence = 0;
   double at_ms = 0;
@@ -32,26 +32,26 @@
   std::uint64_t replicas_of_model = 0;
 };
 
-// Which entry to wait for; empty fields match all.
+// Selects the entry to wait for; empty fields match everything.
 struct LogFilter {
   std::string event;
   std::string worker;
   std::string model;
   std::string request;
-  // Only entries with a larger sequence.
+  // Matches only entries with a larger sequence number.
   std::uint64_t after = 0;
 };
 
-// Counters since the emulator's start.
+// Counters since the start of the emulator.
 struct Totals {
   std::uint64_t overcommits = 0;
   std::uint64_t loads_begun = 0;
   std::uint64_t weight_store_peak_concurrency = 0;
   double idle_mib_seconds = 0;
   double busy_mib_seconds = 0;
-  // Most replicas held at once, by model.
+  // Maximum number of concurrent replicas, by model.
   std::map<std::string, std::uint64_t> maximum_replicas;
-  // How often an engine began a request, by request and by idempotency key.
+  // Number of times an engine started a request, by request and by idempotency key.
   std::map<std::string, std::uint64_t> runs;
   std::map<std::string, std::uint64_t> runs_by_key;
 };
@@ -62,35 +62,35 @@
 struct PlatformFault {
   PlatformMode mode = PlatformMode::kUp;
   absl::Duration delay;
-  // Empty: all zones.
+  // Zone that is affected; empty means all zones.
   ZoneId zone;
   double probability = 1.0;
-  // Calls that are hit; -1: all.
+  // Number of calls that are affected; -1 means all.
   int count = -1;
 };
 
-// Thread-safe; each call opens its own connection and is bounded in time.
+// Thread-safe; each call opens its own connection and has a timeout.
 class AdminClient {
  public:
-  // "ip:port".
+  // `address` is "ip:port".
   explicit AdminClient(std::string address);
 
   Result<std::vector<LogEntry>> Log(std::uint64_t after) const;
-  // kTimeout when no such entry came.
+  // Returns kTimeout if no matching entry arrived.
   Result<LogEntry> WaitForEntry(const LogFilter& filter, absl::Duration timeout) const;
   Result<Totals> ReadTotals() const;
 
-  // Injects a fault given as the emulator's JSON (scenario files).
+  // Injects a fault given as the emulator's JSON, as in scenario files.
   std::error_code PostFault(const std::string& json) const;
   std::error_code SetPlatform(const PlatformFault& fault) const;
-  // 1.0 ends the slowness.
+  // A slowdown of 1.0 restores full speed.
   std::error_code SlowWeightStore(double slowdown) const;
   std::error_code RestartEngine(const WorkerId& worker) const;
   std::error_code FreezeEngine(const WorkerId& worker, bool frozen) const;
   std::error_code BreakStreams(const WorkerId& worker) const;
-  // `state`: live, leaving or gone.
+  // `state` is live, leaving or gone.
   std::error_code SetMachine(const WorkerId& worker, const std::string& state) const;
-  // Both directions.
+  // Sets both directions of the link.
   std::error_code SetLink(const ZoneId& from, const ZoneId& to, LinkMode mode,
                           absl::Duration delay = absl::ZeroDuration()) const;
   std::error_code DuplicateOrders(const WorkerId& worker, absl::Duration delay) const;
--- a/load/caller_client.cc
+++ b/load/caller_client.cc
@@ -24,7 +24,7 @@
 constexpr char kNotRun[] = "not_run";
 constexpr char kDoneMarker[] = "[DONE]";
 constexpr int kStatusOk = 200;
-constexpr absl::Duration kUnlimited = absl::Minutes(10);
+constexpr absl::Duration kDefaultTimeLimit = absl::Minutes(10);
 constexpr absl::Duration kConnectTimeout = absl::Seconds(5);
 
 std::string StringOr(const Json& json, const char* name) {
@@ -61,41 +61,41 @@
   return headers;
 }
 
-// Takes the answer's bytes as they come and fills the result.
+// Parses the bytes of an answer as they arrive and fills in the result.
 class AnswerReader {
  public:
   AnswerReader(bool stream, absl::Time start, CallerResult* result)
       : stream_(stream), start_(start), result_(result) {}
 
-  void Take(const char* bytes, std::size_t size) {
+  void Append(const char* bytes, std::size_t size) {
     buffer_.append(bytes, size);
     if (!stream_ || result_->http_status != kStatusOk) {
       return;
     }
     std::size_t end = 0;
     while ((end = buffer_.find('\n')) != std::string::npos) {
-      TakeLine(absl::StripSuffix(absl::string_view(buffer_).substr(0, end), "\r"));
+      ParseLine(absl::StripSuffix(absl::string_view(buffer_).substr(0, end), "\r"));
       buffer_.erase(0, end + 1);
     }
   }
 
-  // The body has ended (`whole`: without a broken connection).
-  void Finish(bool whole) {
+  // Handles the end of the body; `complete` is false if the connection broke.
+  void Finish(bool complete) {
     if (result_->http_status != kStatusOk) {
-      TakeError(Json::parse(buffer_, nullptr, /*allow_exceptions=*/false));
+      ParseError(Json::parse(buffer_, nullptr, /*allow_exceptions=*/false));
       return;
     }
     if (!stream_) {
-      FinishPlain(whole);
+      FinishPlain(complete);
     } else if (!done_ && !failed_) {
-      Lose(whole ? "no_terminal_marker" : "connection_broken");
+      SetLost(complete ? "no_terminal_marker" : "connection_broken");
     } else if (!failed_) {
       result_->outcome = CallerOutcome::kAnswered;
     }
   }
 
  private:
-  void TakeLine(absl::string_view line) {
+  void ParseLine(absl::string_view line) {
     if (!absl::ConsumePrefix(&line, "data:")) {
       return;
     }
@@ -111,13 +111,13 @@
     }
     if (json.contains("error")) {
       failed_ = true;
-      TakeError(json);
+      ParseError(json);
       return;
     }
-    TakeChoices(json, "delta");
+    ParseChoices(json, "delta");
   }
 
-  void TakeChoices(const Json& json, const char* part) {
+  void ParseChoices(const Json& json, const char* part) {
     const auto choices = json.find("choices");
     if (choices == json.end() || !choices->is_array() || choices->empty()) {
       return;
@@ -136,19 +136,19 @@
     result_->text += text;
   }
 
-  void FinishPlain(bool whole) {
+  void FinishPlain(bool complete) {
     const Json json = Json::parse(buffer_, nullptr, /*allow_exceptions=*/false);
     if (!json.is_object()) {
-      Lose(whole ? "malformed" : "connection_broken");
+      SetLost(complete ? "malformed" : "connection_broken");
       return;
     }
-    TakeChoices(json, "message");
+    ParseChoices(json, "message");
     result_->outcome = CallerOutcome::kAnswered;
   }
 
-  void TakeError(const Json& json) {
+  void ParseError(const Json& json) {
     if (!json.is_object() || !json.contains("error") || !json["error"].is_object()) {
-      Lose("malformed");
+      SetLost("malformed");
       result_->detail = buffer_;
       return;
     }
@@ -161,7 +161,7 @@
         result_->attempt == kNotRun ? CallerOutcome::kRefused : CallerOutcome::kFailed;
   }
 
-  void Lose(const char* code) {
+  void SetLost(const char* code) {
     result_->outcome = CallerOutcome::kLost;
     result_->code = code;
   }
@@ -198,7 +198,7 @@
   int number = 0;
 };
 
-// "<prefix><request>/<number>".
+// Parses "<prefix><request>/<number>".
 std::optional<Token> ParseToken(absl::string_view text, const std::string& prefix) {
   Token token;
   if (!absl::ConsumePrefix(&text, prefix)) {
@@ -262,7 +262,7 @@
   }
   const absl::Time start = SystemClock().Now();
   const absl::Duration limit =
-      (request.time_limit > absl::ZeroDuration() ? request.time_limit : kUnlimited) + grace;
+      (request.time_limit > absl::ZeroDuration() ? request.time_limit : kDefaultTimeLimit) + grace;
   httplib::Client client(target->host, target->port);
   client.set_connection_timeout(absl::ToChronoMicroseconds(std::min(limit, kConnectTimeout)));
   client.set_read_timeout(absl::ToChronoMicroseconds(limit));
@@ -280,18 +280,18 @@
     return true;
   };
   call.content_receiver = [&](const char* bytes, std::size_t size, std::uint64_t, std::uint64_t) {
-    reader.Take(bytes, size);
+    reader.Append(bytes, size);
     return SystemClock().Now() - start < limit;
   };
   httplib::Response response;
   httplib::Error error = httplib::Error::Success;
-  const bool whole = client.send(call, response, error);
+  const bool complete = client.send(call, response, error);
   if (result.http_status == 0) {
     SetUnanswered(error, &result);
     result.total = SystemClock().Now() - start;
     return result;
   }
-  reader.Finish(whole);
+  reader.Finish(complete);
   result.total = SystemClock().Now() - start;
   const bool answered = result.outcome == CallerOutcome::kAnswered;
   const TokenCheck check =
--- a/load/caller_client.h
+++ b/load/caller_client.h
@@ -1,4 +1,4 @@
-// One caller's request to a node, with a typed result that also checks the answer's tokens.
+// Client that sends one caller's request to a node and checks the tokens of the answer.
 #ifndef HINGESPAN_LOAD_CALLER_CLIENT_H_
 #define HINGESPAN_LOAD_CALLER_CLIENT_H_
 
@@ -16,73 +16,73 @@
   bool stream = true;
   // Sent as X-Repeatable; a request that is not repeatable needs a key.
   bool repeatable = true;
-  // Sent as Idempotency-Key; empty: none.
+  // Sent as Idempotency-Key; not sent if empty.
   std::string idempotency_key;
-  // Sent as the body's metadata.idempotency_key, under which the emulator counts runs; empty: the
-  // idempotency key.
+  // Sent as the body's metadata.idempotency_key, by which the emulator counts runs. If empty, the
+  // idempotency key is used.
   std::string tag;
   int priority = 0;
-  // Sent as X-Request-Timeout-Ms; zero: not sent.
+  // Sent as X-Request-Timeout-Ms; not sent if zero.
   absl::Duration time_limit = absl::Seconds(30);
-  // Sent as a bearer token; empty: none.
+  // Sent as a bearer token; not sent if empty.
   std::string caller_key;
 };
 
 enum class CallerOutcome {
-  // The whole answer came, with its terminal marker.
+  // The complete answer arrived, with its terminal marker.
   kAnswered,
-  // An explicit refusal that says "not_run".
+  // The request was rejected explicitly with "not_run".
   kRefused,
-  // An explicit error that says "may_have_run", or no connection came about.
+  // The request failed with an explicit "may_have_run" error, or no connection was established.
   kFailed,
-  // No explicit end came: the connection broke or stayed silent beyond the limit.
+  // No explicit end arrived: the connection broke or was silent beyond the time limit.
   kLost,
 };
 
-// "answered", "refused", "failed" or "lost".
+// Returns "answered", "refused", "failed" or "lost".
 std::string_view CallerOutcomeName(CallerOutcome outcome);
 
 struct CallerResult {
   CallerOutcome outcome = CallerOutcome::kLost;
-  // 0: no status line came.
+  // Status code of the answer; 0 if no status line arrived.
   int http_status = 0;
-  // The refusal's code; "connect_failed", "connection_broken", "no_terminal_marker" or "malformed"
-  // for what the client itself saw.
+  // The node's error code, or "connect_failed", "connection_broken", "no_terminal_marker" or
+  // "malformed" for errors detected by the client itself.
   std::string code;
-  // "not_run" or "may_have_run", as told by the node; empty: not told.
+  // "not_run" or "may_have_run", as reported by the node; empty if not reported.
   std::string attempt;
   std::string key;
   absl::Duration retry_after;
-  // Both from the call's start. InfiniteDuration: no token came.
+  // Both durations start with the call. InfiniteDuration means that no token arrived.
   absl::Duration first_token = absl::InfiniteDuration();
   absl::Duration total;
-  // Some token belongs to another model or request, or is missing, doubled or out of order.
+  // True if a token belongs to another model or request, or is missing, duplicated or out of order.
   bool wrong = false;
-  // The request id in the answer's tokens.
+  // Request id found in the answer's tokens.
   std::string answered_request;
   int tokens = 0;
   std::string text;
   std::string detail;
 };
 
-// What the tokens of one answer show.
+// Result of checking the tokens of one answer.
 struct TokenCheck {
   bool wrong = false;
   int tokens = 0;
   std::string request;
 };
 
-// Checks that `text` is "<model>#<request>/<i> " for one request and i = 1, 2, 3 and so on, and, if
-// `expected_tokens` is not negative, that there are as many.
+// Checks that `text` consists of "<model>#<request>/<i> " for one request and i = 1, 2, 3 and so on
+// and, if `expected_tokens` is not negative, that there are as many tokens.
 TokenCheck CheckTokens(std::string_view text, std::string_view model, int expected_tokens);
 
 // Thread-safe: each call opens its own connection.
 class CallerClient {
  public:
-  // "ip:port" of a node's HTTP server.
+  // `address` is "ip:port" of a node's HTTP server.
   explicit CallerClient(std::string address);
 
-  // Blocks until the answer ends; at most the time limit and `grace`.
+  // Blocks until the answer ends, at most for the time limit plus `grace`.
   CallerResult Send(const CallerRequest& request, absl::Duration grace = absl::Seconds(5)) const;
 
  private:
--- a/load/child_process.cc
+++ b/load/child_process.cc
@@ -24,8 +24,8 @@
 constexpr std::size_t kReadBytes = 16 * 1024;
 constexpr int kExecFailedCode = 127;
 
-// PR_SET_PDEATHSIG acts when the thread that forked ends. So one thread, which lives as long as
-// the process, forks every child.
+// PR_SET_PDEATHSIG takes effect when the forking thread ends. Therefore a single thread that runs
+// as long as the process forks every child.
 class Launcher {
  public:
   static Launcher& Instance() {
@@ -83,7 +83,7 @@
   return Pipe{ends[0], ends[1]};
 }
 
-// Runs between fork and exec: async-signal-safe calls only.
+// Runs between fork and exec, where only async-signal-safe calls are allowed.
 [[noreturn]] void RunChild(pid_t parent, int output, int error, char* const* arguments) {
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   if (getppid() != parent) {
@@ -168,7 +168,8 @@
   }
 
   void ReadUntilEnd() {
-    // Standard error first: what was written to it before an event is seen before the event is.
+    // Polls standard error first, so that output written to it before an event is visible before
+    // the event.
     std::array<pollfd, 2> polled{pollfd{error, POLLIN, 0}, pollfd{output, POLLIN, 0}};
     int open = 2;
     while (open > 0) {
@@ -188,7 +189,7 @@
     Reap();
   }
 
-  // The pid stays taken until it is reaped under the lock, so that no signal goes astray.
+  // Reaps under the lock: the pid can't be reused until then, so no signal reaches another process.
   void Reap() {
     siginfo_t info;
     while (waitid(P_PID, static_cast<id_t>(pid), &info, WEXITED | WNOWAIT) != 0 && errno == EINTR) {
--- a/load/child_process.h
+++ b/load/child_process.h
@@ -1,5 +1,5 @@
-// A child process whose standard output is read as JSON lines. For tools and tests only: the
-// products start no process.
+// Child process whose standard output is read as JSON lines. For tools and tests only; the products
+// start no processes.
 #ifndef HINGESPAN_LOAD_CHILD_PROCESS_H_
 #define HINGESPAN_LOAD_CHILD_PROCESS_H_
 
@@ -16,33 +16,34 @@
 
 namespace hingespan::load {
 
-// How a process ended: by exit with a code, or by a signal (then `signal` is not 0).
+// End of a process: by exit with a code, or by a signal, in which case `signal` is not 0.
 struct ExitStatus {
   int code = 0;
   int signal = 0;
   bool clean() const { return code == 0 && signal == 0; }
 };
 
-// Thread-safe. The child gets SIGKILL when this process dies, and when the object is destroyed.
+// Thread-safe. The child gets SIGKILL when this process dies or the object is destroyed.
 class ChildProcess {
  public:
-  // Starts `arguments[0]` (a path, no search). kNotFound when it can't be executed.
+  // Starts `arguments[0]`, which is a path and is not searched for. Returns kNotFound if it can't
+  // be executed.
   static Result<std::unique_ptr<ChildProcess>> Start(const std::vector<std::string>& arguments);
   ~ChildProcess();
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
 
   pid_t pid() const;
-  // Sends a signal by pid; kNotFound when the process has ended.
+  // Sends a signal by pid; returns kNotFound if the process has ended.
   std::error_code Signal(int signal);
-  // The first JSON line of standard output with this "event"; kTimeout, or kStopping when the
+  // Returns the first JSON line of standard output with this "event"; kTimeout, or kStopping if the
   // process ended without it.
   Result<std::string> WaitForEvent(const std::string& event, absl::Duration timeout);
-  // kTimeout when it still runs after `timeout`.
+  // Returns kTimeout if the process still runs after `timeout`.
   Result<ExitStatus> WaitForExit(absl::Duration timeout);
   bool running() const;
-  // The last part (64 KiB or a little more) of standard error, for diagnosis. Holds all that was
-  // written before an event or the exit that was waited for.
+  // Returns the last part of standard error (64 KiB or slightly more) for diagnosis. Contains
+  // everything written before an event or exit that was waited for.
   std::string ErrorTail() const;
 
  private:
--- a/load/experiment.cc
+++ b/load/experiment.cc
@@ -21,7 +21,7 @@
   return ClusterStatus{error, absl::StrCat(what, ": ", error.message())};
 }
 
-// Writes the deployment's rows into the platform's table, by the operators' program.
+// Imports the deployment's rows into the platform's table with the hingespan command.
 ClusterStatus ImportTable(const ExperimentOptions& options, const std::string& platform) {
   const std::string what = "import of the table";
   const Result<std::unique_ptr<ChildProcess>> import =
@@ -56,7 +56,7 @@
   return cluster;
 }
 
-// One run of the scenario on a cluster of its own.
+// Runs the scenario once on a separate cluster.
 ClusterStatus RunMode(const ExperimentOptions& options, const Scenario& scenario,
                       const std::string& mode, RunSummary* summary) {
   LocalCluster cluster(MakeClusterOptions(options, scenario, mode));
--- a/load/experiment.h
+++ b/load/experiment.h
@@ -1,4 +1,4 @@
-// Runs one scenario on a local cluster once for each keep-warm policy.
+// Runs one scenario on a local cluster, once for each keep-warm policy.
 #ifndef HINGESPAN_LOAD_EXPERIMENT_H_
 #define HINGESPAN_LOAD_EXPERIMENT_H_
 
@@ -11,11 +11,11 @@
 namespace hingespan::load {
 
 struct ExperimentOptions {
-  // Directory of the programs to start.
+  // Directory that contains the programs to start.
   std::string program_directory;
   // Directory with emulator.toml, node.toml, table.toml and scenario.toml.
   std::string deployment;
-  // Gets record-<mode>.jsonl, experiment.txt and experiment.json.
+  // Output directory for record-<mode>.jsonl, experiment.txt and experiment.json.
   std::string directory;
   int nodes_per_zone = 1;
   // Values of the setting keep_warm.mode.
@@ -24,14 +24,14 @@
 
 struct ExperimentResult {
   ClusterStatus status;
-  // One row for each mode that ran.
+  // Table with one row for each mode that ran.
   std::string table;
 };
 
 ExperimentResult RunExperiment(const ExperimentOptions& options);
 
-// One row for each summary; also those of runs with lost or wrong answers, so that no policy looks
-// good by failing.
+// Returns a table with one row per summary. Runs with lost or wrong answers are included, so that a
+// policy does not look good by failing.
 std::string CompareSummaries(const std::vector<RunSummary>& summaries);
 
 }  // namespace hingespan::load
--- a/load/http_call.h
+++ b/load/http_call.h
@@ -1,4 +1,4 @@
-// Plain HTTP calls that answer JSON, for the tool's clients.
+// HTTP calls with JSON answers, for the clients of the load tool.
 #ifndef HINGESPAN_LOAD_HTTP_CALL_H_
 #define HINGESPAN_LOAD_HTTP_CALL_H_
 
@@ -14,7 +14,7 @@
   int port = 0;
 };
 
-// Parses "ip:port" (an IPv6 address in brackets); kMalformed.
+// Parses "ip:port", with an IPv6 address in brackets; returns kMalformed for any other text.
 Result<HostPort> ParseHostPort(const std::string& address);
 
 struct HttpAnswer {
@@ -22,7 +22,8 @@
   std::string body;
 };
 
-// kUnavailable when no connection came about; kTimeout or kAnswerLost when it broke afterwards.
+// Returns kUnavailable if no connection was established, and kTimeout or kAnswerLost if it broke
+// afterwards.
 Result<HttpAnswer> HttpGet(const std::string& address, const std::string& path,
                            absl::Duration timeout);
 Result<HttpAnswer> HttpPostJson(const std::string& address, const std::string& path,
--- a/load/load_record.cc
+++ b/load/load_record.cc
@@ -17,7 +17,7 @@
 constexpr char kRequestLine[] = "request";
 constexpr char kEndLine[] = "end";
 
-// Milliseconds, rounded to microseconds; null for an infinite duration.
+// Converts to milliseconds, rounded to microseconds; null for an infinite duration.
 Json ToMs(absl::Duration duration) {
   if (duration == absl::InfiniteDuration()) {
     return nullptr;
@@ -188,11 +188,11 @@
   return end;
 }
 
-// Lines in their order: run, requests, end.
+// Parses the lines in their order: run, requests, end.
 class RecordReader {
  public:
-  // Throws when the line does not fit.
-  void TakeLine(const std::string& line) {
+  // Throws if the line is invalid or out of order.
+  void ParseLine(const std::string& line) {
     const Json json = Json::parse(line);
     const std::string kind = json.at("record").get<std::string>();
     if (has_end_ || has_header_ == (kind == kRunLine)) {
@@ -211,7 +211,7 @@
     }
   }
 
-  bool whole() const { return has_header_ && has_end_; }
+  bool complete() const { return has_header_ && has_end_; }
   RunRecord Take() { return std::move(record_); }
 
  private:
@@ -257,12 +257,12 @@
   std::string line;
   try {
     while (std::getline(*stream, line)) {
-      reader.TakeLine(line);
+      reader.ParseLine(line);
     }
   } catch (const std::exception&) {
     return Error::kMalformed;
   }
-  if (!reader.whole()) {
+  if (!reader.complete()) {
     return Error::kMalformed;
   }
   return reader.Take();
--- a/load/load_record.h
+++ b/load/load_record.h
@@ -1,5 +1,5 @@
-// The record of one run: what every caller saw, and what the engines themselves counted. Kept as
-// JSON lines: a "run" line, one "request" line per request, an "end" line.
+// Record of one run: the results seen by every caller and the engines' own counters. Stored as JSON
+// lines: a "run" line, one "request" line per request and an "end" line.
 #ifndef HINGESPAN_LOAD_LOAD_RECORD_H_
 #define HINGESPAN_LOAD_LOAD_RECORD_H_
 
@@ -19,7 +19,7 @@
 
 struct RunHeader {
   std::string scenario;
-  // Free text to tell runs apart, e.g. the keep-warm mode.
+  // Free text that distinguishes runs, e.g. the keep-warm mode.
   std::string label;
   std::uint64_t seed = 0;
   absl::Duration duration;
@@ -31,39 +31,39 @@
 
 struct RequestRecord {
   std::size_t number = 0;
-  // From the start of the run.
+  // Planned start, relative to the start of the run.
   absl::Duration planned;
   std::string request_class;
   std::string model;
-  // Address of the node that was asked.
+  // Address of the node that received the request.
   std::string node;
   bool repeatable = true;
-  // Under which the emulator counts this request's runs; copies of one request share it.
+  // Tag by which the emulator counts this request's runs; copies of one request share it.
   std::string tag;
   CallerOutcome outcome = CallerOutcome::kLost;
   int http_status = 0;
   std::string code;
   std::string attempt;
   std::string key;
-  // Both from the planned instant. InfiniteDuration: no token came.
+  // Both durations start at the planned instant. InfiniteDuration means that no token arrived.
   absl::Duration first_token = absl::InfiniteDuration();
   absl::Duration total;
-  // How late the request was sent.
+  // Delay between the planned and the actual start of the request.
   absl::Duration late;
-  // No replica of the model was ready at the planned instant, by the engines' log.
+  // True if the engines' log shows no ready replica of the model at the planned instant.
   bool cold = false;
-  // Tokens missing, doubled, out of order or of another model or request, or an answer that the
-  // engines made for another caller's request.
+  // True if tokens are missing, duplicated, out of order or of another model or request, or if the
+  // engines generated the answer for another caller's request.
   bool wrong = false;
   absl::Duration retry_after;
   int tokens = 0;
-  // The engine's name of the request that the answer's tokens belong to.
+  // Engine's id of the request that the answer's tokens belong to.
   std::string answered_request;
 };
 
-// A change of the replicas or memory of a worker, from the engines' log.
+// Change of a worker's replicas or memory, taken from the engines' log.
 struct ResidencyChange {
-  // From the start of the run; negative before it.
+  // Time relative to the start of the run; negative before it.
   absl::Duration at;
   std::string event;
   std::string worker;
@@ -73,12 +73,12 @@
 };
 
 struct RunEnd {
-  // Requests sent later than planned by more than kLateStart.
+  // Number of requests sent more than kLateStart after their planned instant.
   std::size_t late_starts = 0;
-  // Faults that the emulator refused or that did not reach it.
+  // Number of faults that the emulator rejected or did not receive.
   std::size_t failed_faults = 0;
-  // Absent without an admin address, or when it did not answer. Idle and busy memory and the
-  // number of loads are those of the run alone.
+  // Absent without an admin address or if it did not answer. Idle and busy memory and the number of
+  // loads cover this run only.
   std::optional<Totals> totals;
   std::vector<ResidencyChange> residency;
 };
@@ -91,15 +91,15 @@
 
 inline constexpr char kGenerateBegin[] = "generate_begin";
 
-// Requests sent later than this after their planned instant are late.
+// A request sent later than this after its planned instant counts as late.
 constexpr absl::Duration kLateStart = absl::Milliseconds(20);
 
-// Marks each answer as wrong that the engines' log shows to be made for another caller's request.
+// Marks answers as wrong that the engines' log shows to be generated for another caller's request.
 void MarkForeignAnswers(const std::vector<LogEntry>& log, std::vector<RequestRecord>* requests);
 
 void WriteRecord(const RunRecord& record, std::ostream* stream);
 std::error_code WriteRecordFile(const RunRecord& record, const std::string& file);
-// kNotFound, or kMalformed when a line is not of the form or the first or last line is missing.
+// Returns kNotFound, or kMalformed if a line is invalid or the first or last line is missing.
 Result<RunRecord> ReadRecord(std::istream* stream);
 Result<RunRecord> ReadRecordFile(const std::string& file);
 
--- a/load/load_runner.cc
+++ b/load/load_runner.cc
@@ -16,13 +16,13 @@
 namespace hingespan::load {
 namespace {
 
-// Between the start of the threads and the first planned instant.
+// Delay between the start of the threads and the first planned instant.
 constexpr absl::Duration kStartDelay = absl::Milliseconds(100);
 
 void SleepUntil(absl::Time instant) { absl::SleepFor(instant - SystemClock().Now()); }
 
-// One run. Requests are taken in order by a fixed number of threads, each of which waits for the
-// planned instant of its request; only when all of them wait for answers does a request start late.
+// One run. A fixed number of threads takes the requests in order, and each waits for the planned
+// instant of its request. A request starts late only while all threads wait for answers.
 class Run {
  public:
   Run(const Scenario& scenario, const RunOptions& options)
@@ -196,9 +196,9 @@
   absl::Time start_;
   absl::Time wall_start_;
   std::atomic<std::size_t> next_{0};
-  // Each element is written by the one thread that took its index.
+  // Each element is written only by the thread that took its index.
   std::vector<RequestRecord> requests_;
-  // Written by the fault thread, read after its end.
+  // Written by the fault thread and read after it has been joined.
   std::size_t failed_faults_ = 0;
 };
 
--- a/load/load_runner.h
+++ b/load/load_runner.h
@@ -1,5 +1,5 @@
-// Runs a scenario against nodes, in an open loop: each request is sent at its planned instant,
-// whatever became of those before it.
+// Runs a scenario against nodes as an open loop: each request is sent at its planned instant,
+// independent of the results of earlier ones.
 #ifndef HINGESPAN_LOAD_LOAD_RUNNER_H_
 #define HINGESPAN_LOAD_LOAD_RUNNER_H_
 
@@ -12,14 +12,15 @@
 namespace hingespan::load {
 
 struct RunOptions {
-  // "ip:port" of the nodes' HTTP servers; at least one.
+  // Addresses ("ip:port") of the nodes' HTTP servers; at least one.
   std::vector<std::string> nodes;
-  // "ip:port" of the emulator's admin services; empty: no faults, no totals, no residency.
+  // Address ("ip:port") of the emulator's admin service. If empty, the run has no faults, totals or
+  // residency.
   std::string admin;
   std::string label;
 };
 
-// Blocks for the scenario's duration and until the last answer's time limit at most.
+// Blocks for the scenario's duration and at most until the last answer's time limit.
 RunRecord RunScenario(const Scenario& scenario, const RunOptions& options);
 
 }  // namespace hingespan::load
--- a/load/local_cluster.cc
+++ b/load/local_cluster.cc
@@ -59,7 +59,7 @@
 
 LocalCluster::LocalCluster(LocalClusterOptions options) : options_(std::move(options)) {}
 
-// Nodes go before the emulator, so that none reports its loss.
+// Stops the nodes before the emulator, so that they do not report its loss.
 LocalCluster::~LocalCluster() {
   nodes_.clear();
   emulator_.reset();
@@ -142,11 +142,12 @@
 ClusterStatus LocalCluster::StartNode(const NodeId& node, const ZoneId& zone) {
   NodeProcess* entry = Find(node);
   if (entry != nullptr && entry->process->running()) {
-    return Failed(Error::kInvalidArgument, absl::StrCat(node.value(), " runs already"), nullptr);
+    return Failed(Error::kInvalidArgument, absl::StrCat(node.value(), " is already running"),
+                  nullptr);
   }
   Result<std::unique_ptr<ChildProcess>> started = ChildProcess::Start(NodeArguments(node, zone));
   if (!started) {
-    return Failed(started.error(), absl::StrCat("start of ", node.value()), nullptr);
+    return Failed(started.error(), absl::StrCat("starting ", node.value()), nullptr);
   }
   if (entry == nullptr) {
     nodes_.push_back(std::make_unique<NodeProcess>());
@@ -185,7 +186,7 @@
   }
   const std::error_code error = entry->process->Signal(signal);
   if (error) {
-    return Failed(error, absl::StrCat("signal to ", node.value()), entry->process.get());
+    return Failed(error, absl::StrCat("sending a signal to ", node.value()), entry->process.get());
   }
   return {};
 }
@@ -216,7 +217,8 @@
   }
   const Result<ExitStatus> ended = entry->process->WaitForExit(timeout);
   if (!ended) {
-    return Failed(ended.error(), absl::StrCat("end of ", node.value()), entry->process.get());
+    return Failed(ended.error(), absl::StrCat("waiting for the end of ", node.value()),
+                  entry->process.get());
   }
   if (exit != nullptr) {
     *exit = *ended;
--- a/load/local_cluster.h
+++ b/load/local_cluster.h
@@ -1,5 +1,5 @@
-// An emulator and the nodes of several zones as child processes on loopback, for experiments and
-// for tests with real processes.
+// Local cluster of an emulator and the nodes of several zones as child processes on loopback, for
+// experiments and for tests with real processes.
 //
 //   LocalClusterOptions options;
 //   options.program_directory = HINGESPAN_PROGRAM_DIRECTORY;
@@ -33,29 +33,29 @@
 };
 
 struct LocalClusterOptions {
-  // Directory of hingespand and hingespan-emulator.
+  // Directory that contains hingespand and hingespan-emulator.
   std::string program_directory;
-  // Settings files; empty: none.
+  // Settings files; none if empty.
   std::string emulator_settings;
   std::string node_settings;
-  // Become --set KEY=VALUE flags.
+  // Overrides passed as --set KEY=VALUE flags.
   std::vector<SettingOverride> emulator_overrides;
   std::vector<SettingOverride> node_overrides;
   // Nodes are named <zone>-n1, <zone>-n2 and so on.
   std::vector<ZoneNodes> zones;
-  // Bound of each wait for a process to listen, and for a node to be ready.
+  // Timeouts for each process to listen and for each node to become ready.
   absl::Duration start_timeout = absl::Seconds(20);
   absl::Duration ready_timeout = absl::Seconds(30);
 };
 
-// An error and what was seen of it (with the last lines of the process's standard error).
+// An error with its description, which includes the last lines of the process's standard error.
 struct ClusterStatus {
   std::error_code error;
   std::string detail;
   bool ok() const { return !error; }
 };
 
-// A node's process, as it told on standard output.
+// A node's process, with the addresses it reported on standard output.
 struct RunningNode {
   NodeId node;
   ZoneId zone;
@@ -64,8 +64,8 @@
   pid_t pid = 0;
 };
 
-// Not thread-safe. Each wait is bounded and ends on an event. The destructor kills all children by
-// pid; they also die with this process.
+// Not thread-safe. Each wait has a timeout and ends on an event. The destructor kills all children
+// by pid; they also die with this process.
 class LocalCluster {
  public:
   explicit LocalCluster(LocalClusterOptions options);
@@ -75,37 +75,39 @@
 
   // Starts the emulator and all nodes, and waits until every node is ready.
   ClusterStatus Start();
-  // The two parts of Start, for what must be done between them (e.g. an import of the table).
+  // The two steps of Start, for use when something must be done between them, e.g. importing the
+  // table.
   ClusterStatus StartEmulator();
   ClusterStatus StartNodes();
-  // Starts one more node (or one that has ended) and waits until it listens, not until it is ready.
+  // Starts an additional node, or one that has ended, and waits until it listens but not until it
+  // is ready.
   ClusterStatus StartNode(const NodeId& node, const ZoneId& zone);
   ClusterStatus WaitUntilReady(const NodeId& node, absl::Duration timeout);
 
-  // SIGKILL, and waits for the end.
+  // Sends SIGKILL and waits for the process to end.
   ClusterStatus Kill(const NodeId& node);
-  // SIGTERM, and waits for the end; `exit` tells how it ended.
+  // Sends SIGTERM and waits for the process to end; `exit` receives the exit status.
   ClusterStatus Stop(const NodeId& node, absl::Duration timeout, ExitStatus* exit);
-  // SIGTERM without a wait; WaitForExit tells the rest.
+  // Sends SIGTERM without waiting; WaitForExit waits for the end.
   ClusterStatus BeginStop(const NodeId& node);
   ClusterStatus WaitForExit(const NodeId& node, absl::Duration timeout, ExitStatus* exit);
-  // SIGSTOP and SIGCONT.
+  // Send SIGSTOP and SIGCONT.
   ClusterStatus Pause(const NodeId& node);
   ClusterStatus Continue(const NodeId& node);
-  // Kills the node if it runs, starts it under its old name and zone on new ports (as another
-  // incarnation) and waits until it is ready.
+  // Kills the node if it runs, starts it with the same name and zone on new ports, as a new
+  // incarnation, and waits until it is ready.
   ClusterStatus RestartNode(const NodeId& node);
 
-  // Nodes whose process runs, in the order of their first start.
+  // Returns the nodes whose process runs, in the order of their first start.
   std::vector<RunningNode> Nodes() const;
-  // kNotFound when no such node runs.
+  // Returns kNotFound if no such node runs.
   Result<RunningNode> Node(const NodeId& node) const;
   std::vector<std::string> HttpAddresses() const;
-  // "ip:port" of the emulator's admin and platform services.
+  // Addresses ("ip:port") of the emulator's admin and platform services.
   const std::string& admin_address() const { return admin_address_; }
   std::string PlatformAddress(const ZoneId& zone) const;
   pid_t emulator_pid() const;
-  // Last part of a node's (or, for an empty name, the emulator's) standard error.
+  // Returns the last part of a node's standard error; for an empty name, the emulator's.
   std::string ErrorTail(const NodeId& node) const;
 
  private:
--- a/load/report.cc
+++ b/load/report.cc
@@ -21,7 +21,7 @@
 constexpr absl::Duration kGnuplotTimeout = absl::Seconds(60);
 constexpr double kMibPerGib = 1024;
 
-// Colours that readers with colour blindness can tell apart.
+// Colours that are distinguishable with colour blindness.
 constexpr const char* kColours[] = {"#0072b2", "#d55e00"};
 
 std::string Quote(const std::string& text) {
@@ -42,7 +42,7 @@
 
 std::string Colour(std::size_t index) { return kColours[index % 2]; }
 
-// Draws `body` once as SVG and once as PNG.
+// Draws `body` as SVG and as PNG.
 std::string BothFormats(const std::string& directory, const std::string& name,
                         const std::string& data, const std::string& body) {
   const std::string stem = absl::StrCat(directory, "/", name);
@@ -109,7 +109,7 @@
   return data;
 }
 
-// One panel: a column of the residency data of every record.
+// One panel that plots a column of every record's residency data.
 std::string ResidencyPanel(const std::vector<RunRecord>& records, int column,
                            const std::string& title, const std::string& label) {
   std::string panel = absl::StrCat("set title ", Quote(title), "\nset ylabel ", Quote(label), "\n");
--- a/load/report.h
+++ b/load/report.h
@@ -1,4 +1,4 @@
-// Plots of one run, or of two side by side, drawn by gnuplot.
+// Plots of one run, or of two runs side by side, drawn by gnuplot.
 #ifndef HINGESPAN_LOAD_REPORT_H_
 #define HINGESPAN_LOAD_REPORT_H_
 
@@ -10,20 +10,19 @@
 
 namespace hingespan::load {
 
-// The gnuplot scripts of a report; each draws `<name>.svg` and `<name>.png` into the directory that
-// it runs for.
+// A gnuplot script that draws `<name>.svg` and `<name>.png` into the report's directory.
 struct PlotScript {
   std::string name;
   std::string text;
 };
 
-// Cold starts (distribution), residency (replicas and memory over time), refusals (by code).
-// `records` holds one or two; `directory` gets the files.
+// Plots the distribution of cold starts, the residency (replicas and memory over time) and the
+// refusals by code. `records` holds one or two runs; the images are written to `directory`.
 std::vector<PlotScript> MakePlots(const std::vector<RunRecord>& records,
                                   const std::string& directory);
 
-// Writes the scripts into `directory` (made if absent) and runs gnuplot on each. kNotFound: no
-// gnuplot in PATH.
+// Writes the scripts into `directory`, which is created if absent, and runs gnuplot on each.
+// Returns kNotFound if gnuplot is not in PATH.
 std::error_code DrawReport(const std::vector<RunRecord>& records, const std::string& directory);
 
 }  // namespace hingespan::load
--- a/load/residency.cc
+++ b/load/residency.cc
@@ -12,7 +12,7 @@
 constexpr char kEngineRestart[] = "engine_restart";
 constexpr char kEngineEnded[] = "engine_ended";
 
-// The (model, worker) pairs in one state.
+// Set of the (model, worker) pairs that are in one state.
 class ReplicaSet {
  public:
   void Add(const ResidencyChange& change) { workers_[change.model].insert(change.worker); }
--- a/load/residency.h
+++ b/load/residency.h
@@ -1,4 +1,4 @@
-// Which models were loaded when, followed from the engines' log.
+// Loaded models over time, derived from the engines' log.
 #ifndef HINGESPAN_LOAD_RESIDENCY_H_
 #define HINGESPAN_LOAD_RESIDENCY_H_
 
@@ -13,10 +13,10 @@
 
 namespace hingespan::load {
 
-// Whether an event changes replicas or memory.
+// Returns true if an event changes replicas or memory.
 bool IsResidencyEvent(const std::string& event);
 
-// Marks each request as cold for whose model no replica was ready when it was planned.
+// Marks each request as cold if no replica of its model was ready at its planned instant.
 void MarkColdRequests(const std::vector<ResidencyChange>& changes,
                       std::vector<RequestRecord>* requests);
 
--- a/load/scenario.cc
+++ b/load/scenario.cc
@@ -40,7 +40,7 @@
   return absl::StrCat(array, "[", index, "]");
 }
 
-// One model, or with `first` and `last` a series of numbered ones.
+// Reads one model, or a numbered series of models if `first` and `last` are set.
 void ReadModels(const toml::table& table, const std::string& key, const std::string& file,
                 Findings* findings, std::vector<WeightedModel>* models) {
   TomlTableReader reader(&table, key, file, findings);
@@ -113,7 +113,7 @@
   return request_class;
 }
 
-// The keys beyond `at_ms` and `fault` are the emulator's to check.
+// Keys other than `at_ms` and `fault` are validated by the emulator.
 TimedFault ReadFault(const toml::table& table, const std::string& key, const std::string& file,
                      Findings* findings) {
   TomlTableReader reader(&table, key, file, findings);
@@ -142,7 +142,7 @@
   }
 }
 
-// Keys and values are hingespand's to check.
+// Keys and values are validated by hingespand.
 void ReadNodeSettings(TomlTableReader* reader, const std::string& file, Findings* findings,
                       std::vector<SettingOverride>* settings) {
   const std::vector<const toml::table*> tables = reader->ReadTables("node_settings");
--- a/load/scenario.h
+++ b/load/scenario.h
@@ -1,4 +1,4 @@
-// A load scenario: which requests arrive when, and which faults are injected. From a TOML file.
+// Load scenario from a TOML file: the arrival of requests and the faults to inject.
 #ifndef HINGESPAN_LOAD_SCENARIO_H_
 #define HINGESPAN_LOAD_SCENARIO_H_
 
@@ -12,7 +12,7 @@
 
 namespace hingespan::load {
 
-// One row of the table that requests of a class may ask for.
+// One table row that requests of a class may ask for.
 struct WeightedModel {
   std::string model;
   double weight = 1.0;
@@ -22,16 +22,16 @@
 struct Burst {
   absl::Duration at;
   int requests = 1;
-  // Arrivals are uniform in [at, at + spread).
+  // Arrivals are uniformly distributed in [at, at + spread).
   absl::Duration spread;
-  // Models drawn for the burst (by weight); each of them is asked for at many routers. 0: all.
+  // Number of models drawn by weight for the burst; each is requested at many routers. 0 means all.
   int distinct_models = 0;
 };
 
-// Requests of one kind.
+// A class of requests with common properties.
 struct RequestClass {
   std::string name;
-  // Poisson arrivals over the whole run; 0: none.
+  // Rate of Poisson arrivals over the whole run; 0 means none.
   double rate_per_second = 0;
   std::vector<Burst> bursts;
   std::vector<WeightedModel> models;
@@ -40,11 +40,11 @@
   int priority = 0;
   bool stream = true;
   int max_tokens = 16;
-  // Each request is sent to this many routers at once under one idempotency key.
+  // Number of routers to which each request is sent at the same time, under one idempotency key.
   int copies = 1;
 };
 
-// `json` is the emulator's form of the fault.
+// `json` is the fault in the emulator's format.
 struct TimedFault {
   absl::Duration at;
   std::string json;
@@ -54,29 +54,29 @@
   std::string name;
   std::uint64_t seed = 1;
   absl::Duration duration = absl::Seconds(60);
-  // The emulator's time compression that the scenario is made for, and that of its arrivals.
+  // Time compression of the emulator for which the scenario and its arrivals are designed.
   double time_compression = 1.0;
-  // Memory of one accelerator, to turn MiB seconds into accelerator hours.
+  // Memory of one accelerator, used to convert MiB seconds to accelerator hours.
   double accelerator_mib = 81920;
   // Zones in which an experiment starts nodes; experiments need at least one.
   std::vector<std::string> zones;
-  // Settings of the nodes of an experiment, beside the deployment's own; what they name in real
-  // time must be compressed like the rest.
+  // Settings of the experiment's nodes, in addition to the deployment's own. Real-time values must
+  // be compressed like the rest.
   std::vector<SettingOverride> node_settings;
-  // Requests in flight at most; one thread each.
+  // Maximum number of requests in flight; each uses one thread.
   int maximum_in_flight = 256;
   std::vector<RequestClass> classes;
   std::vector<TimedFault> faults;
 };
 
-// A scenario, and everything that is wrong with it. With findings, `scenario` is not to be used.
+// A scenario with the findings about it. If there are findings, `scenario` must not be used.
 struct LoadedScenario {
   Scenario scenario;
   Findings findings;
 };
 
 LoadedScenario LoadScenario(const std::string& file);
-// As above from TOML text; `name` stands for the file in findings.
+// Parses a scenario from TOML text; `name` is the file name that findings show.
 LoadedScenario ParseScenario(const std::string& text, const std::string& name);
 
 }  // namespace hingespan::load
--- a/load/schedule.cc
+++ b/load/schedule.cc
@@ -12,7 +12,7 @@
 
 constexpr std::uint64_t kClassSeedStep = 0x9E3779B97F4A7C15ULL;
 
-// Draws from weighted models.
+// Draws models by weight.
 class ModelPicker {
  public:
   explicit ModelPicker(std::vector<WeightedModel> models) : models_(std::move(models)) {
@@ -24,7 +24,7 @@
 
   const std::string& Pick(Random* random) const { return models_[PickIndex(random)].model; }
 
-  // Different models, drawn by weight without putting any back.
+  // Draws distinct models by weight, without replacement.
   static std::vector<std::string> PickDistinct(std::vector<WeightedModel> models, std::size_t count,
                                                Random* random) {
     std::vector<std::string> picked;
@@ -49,8 +49,8 @@
   double total_ = 0;
 };
 
-// Plans the requests of one class; each class has its own generator, so that a change of one class
-// leaves the others alone.
+// Plans the requests of one class. Each class has its own random generator, so that changing one
+// class does not affect the others.
 class ClassPlanner {
  public:
   ClassPlanner(const Scenario& scenario, std::size_t class_index)
--- a/load/schedule.h
+++ b/load/schedule.h
@@ -1,4 +1,4 @@
-// The requests of a run, planned ahead from the scenario and its seed alone.
+// Schedule of a run's requests, determined by the scenario and its seed.
 #ifndef HINGESPAN_LOAD_SCHEDULE_H_
 #define HINGESPAN_LOAD_SCHEDULE_H_
 
@@ -20,20 +20,20 @@
 
 struct PlannedRequest {
   std::size_t number = 0;
-  // From the start of the run.
+  // Planned instant, relative to the start of the run.
   absl::Duration at;
   std::size_t class_index = 0;
   std::string model;
-  // Modulo the number of routers.
+  // Index of the router, modulo the number of routers.
   std::uint64_t router = 0;
-  // Copies of one request share these.
+  // Key bits shared by all copies of one request.
   KeyBits key_bits;
 };
 
-// Sorted by time. The same scenario gives the same schedule.
+// Returns requests sorted by time. The same scenario gives the same schedule.
 std::vector<PlannedRequest> BuildSchedule(const Scenario& scenario);
 
-// An idempotency key that carries its issue time: UUID version 7 (RFC 9562).
+// Returns an idempotency key that contains its issue time: UUID version 7 (RFC 9562).
 std::string MakeUuidV7(absl::Time issued, const KeyBits& bits);
 
 }  // namespace hingespan::load
--- a/load/small_stack_threads.h
+++ b/load/small_stack_threads.h
@@ -1,4 +1,4 @@
-// Threads with small stacks, so that many blocking calls fit into little memory.
+// Threads with small stacks, so that many blocking calls need little memory.
 #ifndef HINGESPAN_LOAD_SMALL_STACK_THREADS_H_
 #define HINGESPAN_LOAD_SMALL_STACK_THREADS_H_
 
@@ -10,14 +10,14 @@
 
 namespace hingespan::load {
 
-// Runs one function on a fixed number of threads. Not thread-safe itself.
+// Runs one function on a fixed number of threads. Not thread-safe.
 class SmallStackThreads {
  public:
   static constexpr std::size_t kStackBytes = 256 * 1024;
 
-  // Starts up to `count` threads; `count()` tells how many could be started.
+  // Starts up to `count` threads; `count()` returns how many were started.
   SmallStackThreads(int count, std::function<void()> body);
-  // Waits for all to end.
+  // Waits for all threads to end.
   ~SmallStackThreads();
   SmallStackThreads(const SmallStackThreads&) = delete;
   SmallStackThreads& operator=(const SmallStackThreads&) = delete;
--- a/load/summary.cc
+++ b/load/summary.cc
@@ -22,10 +22,10 @@
   return sorted[std::min(index, sorted.size() - 1)];
 }
 
-// Gathers the requests of one class.
-class ClassGatherer {
+// Accumulates the requests of one class.
+class ClassAccumulator {
  public:
-  explicit ClassGatherer(const std::string& name) { summary_.name = name; }
+  explicit ClassAccumulator(const std::string& name) { summary_.name = name; }
 
   void Add(const RequestRecord& request) {
     ++summary_.requests;
@@ -75,37 +75,38 @@
 };
 
 std::vector<ClassSummary> SummarizeClasses(const std::vector<RequestRecord>& requests) {
-  std::vector<ClassGatherer> gatherers;
-  ClassGatherer all(kAllClasses);
+  std::vector<ClassAccumulator> accumulators;
+  ClassAccumulator all(kAllClasses);
   for (const RequestRecord& request : requests) {
-    auto found = std::find_if(
-        gatherers.begin(), gatherers.end(),
-        [&](const ClassGatherer& gatherer) { return gatherer.name() == request.request_class; });
-    if (found == gatherers.end()) {
-      gatherers.emplace_back(request.request_class);
-      found = gatherers.end() - 1;
+    auto found = std::find_if(accumulators.begin(), accumulators.end(),
+                              [&](const ClassAccumulator& accumulator) {
+                                return accumulator.name() == request.request_class;
+                              });
+    if (found == accumulators.end()) {
+      accumulators.emplace_back(request.request_class);
+      found = accumulators.end() - 1;
     }
     found->Add(request);
     all.Add(request);
   }
   std::vector<ClassSummary> summaries;
-  summaries.reserve(gatherers.size() + 1);
-  for (ClassGatherer& gatherer : gatherers) {
-    summaries.push_back(gatherer.Take());
+  summaries.reserve(accumulators.size() + 1);
+  for (ClassAccumulator& accumulator : accumulators) {
+    summaries.push_back(accumulator.Take());
   }
   summaries.push_back(all.Take());
   return summaries;
 }
 
-// All attempts under one key.
+// All attempts that share one key.
 struct KeyUse {
   bool repeatable = true;
   std::uint64_t attempts_that_may_have_run = 0;
   std::uint64_t runs = 0;
 };
 
-// Attempts that were told "not_run" explain no run; the others explain one each, or, if they are
-// repeatable, any number.
+// An attempt answered with "not_run" accounts for no run. Any other attempt accounts for one run
+// or, if it is repeatable, for any number.
 std::uint64_t UnexplainedRuns(const KeyUse& use) {
   if (use.runs <= use.attempts_that_may_have_run) {
     return 0;
@@ -116,7 +117,7 @@
   return use.runs - use.attempts_that_may_have_run;
 }
 
-std::map<std::string, KeyUse> GatherKeys(const RunRecord& record) {
+std::map<std::string, KeyUse> CountKeyUses(const RunRecord& record) {
   std::map<std::string, KeyUse> keys;
   for (const RequestRecord& request : record.requests) {
     KeyUse& use = keys[request.tag];
@@ -144,7 +145,7 @@
   const double mib_seconds_per_hour = record.header.accelerator_mib * kSecondsPerHour;
   summary.idle_accelerator_hours = totals.idle_mib_seconds / mib_seconds_per_hour;
   summary.busy_accelerator_hours = totals.busy_mib_seconds / mib_seconds_per_hour;
-  for (const auto& [key, use] : GatherKeys(record)) {
+  for (const auto& [key, use] : CountKeyUses(record)) {
     summary.duplicates += !use.repeatable && use.runs > 1 ? 1 : 0;
     summary.false_not_run += UnexplainedRuns(use);
   }
--- a/load/summary.h
+++ b/load/summary.h
@@ -1,4 +1,4 @@
-// Figures of one run, by class of requests and over all.
+// Summary of one run, by request class and in total.
 #ifndef HINGESPAN_LOAD_SUMMARY_H_
 #define HINGESPAN_LOAD_SUMMARY_H_
 
@@ -12,7 +12,7 @@
 
 namespace hingespan::load {
 
-// In milliseconds, by nearest rank; all 0 when `count` is 0.
+// Percentiles in milliseconds, by nearest rank; all 0 if `count` is 0.
 struct LatencySummary {
   std::size_t count = 0;
   double p50 = 0;
@@ -30,20 +30,21 @@
   std::size_t failed = 0;
   std::size_t lost = 0;
   std::size_t wrong = 0;
-  // Of answered requests; the latter of cold ones only.
+  // Latencies of answered requests; `cold_first_token` covers only cold ones.
   LatencySummary first_token;
   LatencySummary total;
   LatencySummary cold_first_token;
-  // Of refused and failed requests.
+  // Number of refused and failed requests, by code.
   std::map<std::string, std::size_t> refusals_by_code;
 };
 
-// What the engines' counters say against what callers were told. Absent totals: not measured.
+// Comparison of the engines' counters with the answers that callers received. Not measured if the
+// totals are absent.
 struct EngineSummary {
   bool measured = false;
-  // Keys of not repeatable requests that ran more than once.
+  // Number of keys of non-repeatable requests that ran more than once.
   std::size_t duplicates = 0;
-  // Runs of requests all of whose attempts were told "not_run".
+  // Number of runs of requests whose attempts were all answered with "not_run".
   std::size_t false_not_run = 0;
   std::uint64_t overcommits = 0;
   std::uint64_t loads_begun = 0;
@@ -57,7 +58,7 @@
   std::uint64_t seed = 0;
   std::size_t late_starts = 0;
   std::size_t failed_faults = 0;
-  // In the order of their first request; the last, "all", is over all classes.
+  // Classes in the order of their first request; the last one, "all", covers all classes.
   std::vector<ClassSummary> classes;
   EngineSummary engines;
 };
--- a/tests/load/caller_client_test.cc
+++ b/tests/load/caller_client_test.cc
@@ -23,7 +23,7 @@
   CHECK(check.tokens == 3);
 }
 
-TEST_CASE("a foreign, missing, doubled or late token fails the check") {
+TEST_CASE("a token that is foreign, missing, duplicated or out of order fails the check") {
   CHECK(CheckTokens("m#r/1 m#s/2 ", "m", 2).wrong);
   CHECK(CheckTokens("m#r/1 n#r/2 ", "m", 2).wrong);
   CHECK(CheckTokens("m#r/1 m#r/3 ", "m", 2).wrong);
@@ -34,7 +34,7 @@
   CHECK(CheckTokens("m#r/1 nonsense ", "m", 2).wrong);
 }
 
-TEST_CASE("a whole answer is answered, streamed or not") {
+TEST_CASE("a complete answer is reported as answered, streamed or not") {
   FakeNode node;
   for (const bool stream : {true, false}) {
     const CallerResult result = CallerClient(node.address()).Send(RequestFor("good", stream));
@@ -45,7 +45,7 @@
   }
 }
 
-TEST_CASE("a refusal carries its code, run states and when to come back") {
+TEST_CASE("a refusal carries its code, attempt state and retry delay") {
   FakeNode node;
   const CallerResult result = CallerClient(node.address()).Send(RequestFor("refused", true));
   CHECK(result.outcome == CallerOutcome::kRefused);
@@ -56,7 +56,7 @@
   CHECK(result.retry_after == absl::Milliseconds(1500));
 }
 
-TEST_CASE("a stream that ends without its marker is lost") {
+TEST_CASE("a stream that ends without its terminal marker is reported as lost") {
   FakeNode node;
   const CallerResult result = CallerClient(node.address()).Send(RequestFor("cut", true));
   CHECK(result.outcome == CallerOutcome::kLost);
@@ -71,14 +71,14 @@
   CHECK(result.attempt == "may_have_run");
 }
 
-TEST_CASE("another request's answer is wrong") {
+TEST_CASE("another request's answer is reported as wrong") {
   FakeNode node;
   const CallerResult result = CallerClient(node.address()).Send(RequestFor("swapped", true));
   CHECK(result.outcome == CallerOutcome::kAnswered);
   CHECK(result.wrong);
 }
 
-TEST_CASE("an address where nobody listens gives a failure that did not run") {
+TEST_CASE("a refused connection is reported as failed and not run") {
   std::string address;
   {
     FakeNode node;
--- a/tests/load/child_process_test.cc
+++ b/tests/load/child_process_test.cc
@@ -42,7 +42,7 @@
   CHECK(child->ErrorTail() == "before\n");
 }
 
-TEST_CASE("a killed process tells its signal") {
+TEST_CASE("a killed process reports its signal") {
   const auto child = StartShell("exec sleep 60");
   REQUIRE_FALSE(child->Signal(SIGKILL));
   const Result<ExitStatus> exit = child->WaitForExit(kBound);
@@ -51,7 +51,7 @@
   CHECK_FALSE(exit->clean());
 }
 
-TEST_CASE("a paused process ends when the object goes") {
+TEST_CASE("a paused process ends when the object is destroyed") {
   auto child = StartShell("echo '{\"event\":\"up\"}'; exec sleep 60");
   REQUIRE(child->WaitForEvent("up", kBound).ok());
   REQUIRE_FALSE(child->Signal(SIGSTOP));
--- a/tests/load/deployment_scenarios_test.cc
+++ b/tests/load/deployment_scenarios_test.cc
@@ -1,4 +1,4 @@
-// The scenario files of the deployments fit their tables and the sizes of a run.
+// Checks that the deployments' scenario files match their tables and the limits of a run.
 #include <doctest/doctest.h>
 #include <toml++/toml.h>
 
@@ -26,9 +26,9 @@
   CHECK(BuildSchedule(loaded.scenario).size() > 500);
 }
 
-TEST_CASE("Corail's scenario fits its table") { CheckDeployment("corail"); }
+TEST_CASE("Corail's scenario matches its table") { CheckDeployment("corail"); }
 
-TEST_CASE("Constanta's scenario fits its table") { CheckDeployment("constanta"); }
+TEST_CASE("Constanta's scenario matches its table") { CheckDeployment("constanta"); }
 
 }  // namespace
 }  // namespace hingespan::load
--- a/tests/load/fake_node.h
+++ b/tests/load/fake_node.h
@@ -1,5 +1,5 @@
-// A small HTTP server that answers as a node does; the model's name picks the behaviour: "good",
-// "refused", "cut", "failing", "swapped", "slow".
+// A small HTTP server that answers like a node; the model's name selects the behaviour: "good",
+// "refused", "cut", "failing", "swapped" or "slow".
 #ifndef HINGESPAN_TESTS_LOAD_FAKE_NODE_H_
 #define HINGESPAN_TESTS_LOAD_FAKE_NODE_H_
 
@@ -17,14 +17,15 @@
   ~FakeNode();
 
   std::string address() const;
-  // Idempotency keys received so far, in order of arrival; empty ones for requests without.
+  // Returns the idempotency keys received so far, in order of arrival; empty for requests without
+  // one.
   std::vector<std::string> keys() const;
-  // Bodies posted to /faults (the server plays the emulator's admin address too).
+  // Returns the bodies posted to /faults, as the server also emulates the admin interface.
   std::vector<std::string> faults() const;
-  // "slow" requests are answered once this many requests of all kinds have come. To be called
+  // Answers "slow" requests once this many requests of all kinds have arrived. Must be called
   // before the first request, like HoldSlowFor.
   void ReleaseSlowAfter(std::size_t requests);
-  // Each "slow" request is answered this long after it came.
+  // Answers each "slow" request this long after its arrival.
   void HoldSlowFor(absl::Duration duration);
 
  private:
--- a/tests/load/fake_programs.h
+++ b/tests/load/fake_programs.h
@@ -1,4 +1,4 @@
-// Shell scripts that print what the emulator and a node print, for tests of LocalCluster.
+// Shell scripts that print the same output as the emulator and a node, for tests of LocalCluster.
 #ifndef HINGESPAN_TESTS_LOAD_FAKE_PROGRAMS_H_
 #define HINGESPAN_TESTS_LOAD_FAKE_PROGRAMS_H_
 
@@ -10,7 +10,7 @@
 
 namespace hingespan::load {
 
-// A directory with executable scripts; removed at the end.
+// A directory with executable scripts, which is removed by the destructor.
 class FakePrograms {
  public:
   FakePrograms() {
--- a/tests/load/load_runner_test.cc
+++ b/tests/load/load_runner_test.cc
@@ -49,7 +49,7 @@
   CHECK(all.wrong == 2);
 }
 
-TEST_CASE("keys are sent for requests that are not repeatable, each its own") {
+TEST_CASE("each request that is not repeatable is sent with its own key") {
   FakeNode node;
   RequestClass deals = BurstClass("good", 5);
   deals.repeatable = false;
@@ -61,7 +61,7 @@
   CHECK(std::set<std::string>(keys.begin(), keys.end()).size() == 5);
 }
 
-TEST_CASE("the engines' counters stand in the record under the requests' tags") {
+TEST_CASE("the record holds the engines' counters by the requests' tags") {
   FakeNode node;
   RequestClass deals = BurstClass("good", 2);
   deals.repeatable = false;
@@ -71,7 +71,7 @@
   options.admin = node.address();
   const RunSummary summary = Summarize(RunScenario(ShortScenario({deals}), options));
   REQUIRE(summary.engines.measured);
-  // The fake node runs whatever it gets: both copies of both requests.
+  // The fake node runs every request, hence both copies of both requests.
   CHECK(summary.engines.duplicates == 2);
 }
 
@@ -88,9 +88,9 @@
   CHECK(node.faults() == std::vector<std::string>{R"({"fault":"first"})", R"({"fault":"second"})"});
 }
 
-// Slow answers hold all threads until the last request of the other class has been seen; with one
-// thread less it could never be sent.
-TEST_CASE("slow answers do not hold up requests while threads are left") {
+// Slow answers occupy all threads until the last request of the other class has arrived. With one
+// thread less, that request could never be sent.
+TEST_CASE("slow answers do not delay requests while threads are free") {
   FakeNode node;
   RequestClass slow = BurstClass("slow", 6);
   RequestClass good = BurstClass("good", 10);
@@ -112,7 +112,7 @@
   scenario.maximum_in_flight = 1;
   RunOptions options;
   options.nodes = {node.address()};
-  // Answered only once kLateStart is over after the planned instant of both.
+  // The answer comes only after kLateStart has passed since the planned instants of both requests.
   node.HoldSlowFor(2 * kLateStart);
   const RunRecord record = RunScenario(scenario, options);
   CHECK(record.end.late_starts >= 1);
--- a/tests/load/local_cluster_test.cc
+++ b/tests/load/local_cluster_test.cc
@@ -16,7 +16,7 @@
     R"(echo '{"event":"listening","platform":"127.0.0.1:1","platform_by_zone":{"z2":"127.0.0.1:2"},"admin":"127.0.0.1:3"}'
 exec sleep 60)";
 
-// Prints its arguments to standard error, so that a test can see them.
+// Prints its arguments to standard error, where a test can read them.
 constexpr char kNode[] =
     R"(echo "$@" >&2
 echo '{"event":"listening","http":"127.0.0.1:4","control":"127.0.0.1:5"}'
--- a/tests/load/scenario_test.cc
+++ b/tests/load/scenario_test.cc
@@ -7,7 +7,7 @@
 namespace hingespan::load {
 namespace {
 
-constexpr char kWhole[] = R"(
+constexpr char kCompleteScenario[] = R"(
 name = "rounds"
 seed = 7
 duration_ms = 1500
@@ -33,8 +33,8 @@
 slowdown = 10.0
 )";
 
-TEST_CASE("a whole scenario is read") {
-  const LoadedScenario loaded = ParseScenario(kWhole, "s.toml");
+TEST_CASE("a complete scenario is read") {
+  const LoadedScenario loaded = ParseScenario(kCompleteScenario, "s.toml");
   REQUIRE_MESSAGE(loaded.findings.empty(), FormatFindings(loaded.findings));
   const Scenario& scenario = loaded.scenario;
   CHECK(scenario.seed == 7);
@@ -92,7 +92,7 @@
   CHECK(found("classes", 3));
 }
 
-TEST_CASE("a text that is not TOML is one finding with its line") {
+TEST_CASE("invalid TOML is reported as one finding with its line") {
   const LoadedScenario loaded = ParseScenario("name = \"x\"\nseed = = 3\n", "bad.toml");
   REQUIRE(loaded.findings.size() == 1);
   CHECK(loaded.findings[0].place.line == 2);
--- a/tests/load/schedule_test.cc
+++ b/tests/load/schedule_test.cc
@@ -49,7 +49,7 @@
   for (const PlannedRequest& request : schedule) {
     ++counts[request.model];
   }
-  // Expected 2000, standard deviation 45; the seed is fixed.
+  // The expected count is 2000 with a standard deviation of 45; the seed is fixed.
   CHECK(schedule.size() > 1800);
   CHECK(schedule.size() < 2200);
   CHECK(counts["often"] > 2.5 * counts["seldom"]);
--- a/tests/load/summary_test.cc
+++ b/tests/load/summary_test.cc
@@ -90,14 +90,14 @@
   CHECK(summary.engines.false_not_run == 1);
 }
 
-TEST_CASE("a run that every attempt was told not to be is found") {
+TEST_CASE("a run is found although every attempt was answered with not_run") {
   RunRecord record = RecordOf({NotAnswered("k", CallerOutcome::kRefused, "full", "not_run")});
   CHECK(Summarize(record).engines.false_not_run == 0);
   record.end.totals->runs_by_key = {{"k", 1}};
   CHECK(Summarize(record).engines.false_not_run == 1);
 }
 
-TEST_CASE("a refused copy is true when the other copy's run explains the count") {
+TEST_CASE("a refused copy is not counted when the other copy accounts for the run") {
   RunRecord record =
       RecordOf({Answered("k", 1), NotAnswered("k", CallerOutcome::kRefused, "claimed", "not_run")});
   record.requests[0].repeatable = false;
@@ -107,7 +107,7 @@
   CHECK(Summarize(record).engines.duplicates == 0);
 }
 
-TEST_CASE("memory seconds become accelerator hours") {
+TEST_CASE("memory seconds are converted to accelerator hours") {
   RunRecord record = RecordOf({});
   record.end.totals->idle_mib_seconds = 1000.0 * 3600 * 2;
   record.end.totals->busy_mib_seconds = 1000.0 * 1800;
@@ -118,7 +118,7 @@
   CHECK_FALSE(Summarize(record).engines.measured);
 }
 
-TEST_CASE("a record survives writing and reading; a cut one is malformed") {
+TEST_CASE("a record is unchanged by writing and reading; a truncated one is malformed") {
   RunRecord record = RecordOf({Answered("k1", 12.5)});
   record.requests.push_back(NotAnswered("k2", CallerOutcome::kLost, "connection_broken", ""));
   record.end.residency = {ResidencyChange{absl::Milliseconds(-5), "load_begin", "w", "m", 10, 1}};
@@ -153,7 +153,7 @@
   CHECK(requests[4].cold);
 }
 
-TEST_CASE("an answer that was made for another caller's request is wrong") {
+TEST_CASE("an answer generated for another caller's request is wrong") {
   std::vector<RequestRecord> requests{Answered("k1", 1), Answered("k2", 1), Answered("k3", 1)};
   requests[0].answered_request = "r1";
   requests[1].answered_request = "r1";
@@ -192,13 +192,13 @@
     CHECK(plot.text.find("/out/" + plot.name + ".svg") != std::string::npos);
     CHECK(plot.text.find("/out/" + plot.name + ".png") != std::string::npos);
     CHECK(plot.text.find("test, it''s first") != std::string::npos);
-    // Underscores of labels are shown as they are, not as subscripts.
+    // Underscores in labels must be drawn literally, not as subscripts.
     CHECK(plot.text.find("set terminal svg noenhanced") != std::string::npos);
     CHECK(plot.text.find("set terminal pngcairo noenhanced") != std::string::npos);
   }
 }
 
-TEST_CASE("the comparison has one row a run, failures included") {
+TEST_CASE("the comparison has one row per run, including runs with failures") {
   RunRecord record = RecordOf({NotAnswered("k", CallerOutcome::kLost, "connection_broken", "")});
   record.header.label = "always";
   const std::string table = CompareSummaries({Summarize(record)});
