--- a/emulator/engine.cc
+++ b/emulator/engine.cc
@@ -35,7 +35,7 @@
     return Refuse(verdict, {incarnation, epoch, {}, {}}, ModelName());
   }
   observer_->OnEvent(Entry(EngineEvent::kFenced, ModelName()));
-  return OrderResult::kTaken;
+  return OrderResult::kAccepted;
 }
 
 OrderResult Engine::Load(const LoadOrder& order, absl::Time now) {
@@ -51,7 +51,7 @@
     if (replica.state == ReplicaState::kDraining) {
       replica.state = ReplicaState::kReady;
     }
-    return OrderResult::kTaken;
+    return OrderResult::kAccepted;
   }
   if (!order.base.empty() && !replicas_.contains(order.base)) {
     return RefuseLoad(OrderResult::kBaseNotLoaded, order);
@@ -60,7 +60,7 @@
     return RefuseLoad(OrderResult::kOutOfMemory, order);
   }
   BeginLoad(order, now);
-  return OrderResult::kTaken;
+  return OrderResult::kAccepted;
 }
 
 OrderResult Engine::Unload(const UnloadOrder& order, absl::Time now) {
@@ -71,7 +71,7 @@
   }
   auto replica = replicas_.find(order.model);
   if (replica == replicas_.end()) {
-    return OrderResult::kTaken;
+    return OrderResult::kAccepted;
   }
   if (replica->second.state == ReplicaState::kReady) {
     UpdateMemoryUse(now);
@@ -80,7 +80,7 @@
   } else if (replica->second.state != ReplicaState::kDraining) {
     RemoveReplica(replica, now);
   }
-  return OrderResult::kTaken;
+  return OrderResult::kAccepted;
 }
 
 OrderResult Engine::SetRole(const OrderFence& fence, const std::string& role, absl::Time now) {
@@ -90,7 +90,7 @@
     return Refuse(verdict, fence, ModelName());
   }
   role_ = role;
-  return OrderResult::kTaken;
+  return OrderResult::kAccepted;
 }
 
 OrderResult Engine::Refuse(OrderVerdict verdict, const OrderFence& fence, const ModelName& model) {
--- a/emulator/engine.h
+++ b/emulator/engine.h
@@ -61,7 +61,7 @@
   virtual void OnReplicaCount(const ModelName& model, int difference) = 0;
 };
 
-enum class OrderResult { kTaken, kFenced, kOutOfMemory, kBaseNotLoaded };
+enum class OrderResult { kAccepted, kFenced, kOutOfMemory, kBaseNotLoaded };
 
 enum class GenerateResult { kAccepted, kNotLoaded, kOtherIncarnation, kOverloaded };
 
--- a/emulator/engine_front_end.cc
+++ b/emulator/engine_front_end.cc
@@ -35,7 +35,7 @@
 
 void AnswerOrder(OrderResult result, const EngineStatus& status, httplib::Response* response) {
   switch (result) {
-    case OrderResult::kTaken:
+    case OrderResult::kAccepted:
       AnswerJson(kHttpOk, ToJson(status), response);
       return;
     case OrderResult::kFenced:
@@ -205,7 +205,7 @@
 
 void EngineFrontEnd::Apply(const WorkerId& worker, const Order& order,
                            httplib::Response* response) {
-  OrderResult result = OrderResult::kTaken;
+  OrderResult result = OrderResult::kAccepted;
   EngineStatus status;
   const AccessResult access = fleet_->Use(worker, [&](Engine& engine, absl::Time now) {
     result = order(engine, now);
--- a/emulator/platform_store.cc
+++ b/emulator/platform_store.cc
@@ -168,7 +168,7 @@
 }
 
 void PlatformStore::Transact(const std::shared_ptr<ServerExchange>& exchange) {
-  if (fault_ == StoreFault::kActsLate) {
+  if (fault_ == StoreFault::kAppliesLate) {
     unanswered_.push_back(exchange);
     late_writes_.push_back(loop_->MakeTimer());
     late_writes_.back()->Set(loop_->Now() + kLateWriteDelay, [this, request = exchange->body()] {
--- a/emulator/platform_store.h
+++ b/emulator/platform_store.h
@@ -25,7 +25,7 @@
   // Applies writes, then closes the connection without an answer.
   kLoseAnswers,
   // Applies writes after a delay if their condition still holds, without an answer.
-  kActsLate,
+  kAppliesLate,
 };
 
 class PlatformStore {
--- a/emulator/platform_worker.cc
+++ b/emulator/platform_worker.cc
@@ -54,7 +54,7 @@
       heartbeat_timer_(loop->MakeTimer()) {
   (void)server_.Listen("127.0.0.1:0");
   announced_address_ = server_.address();
-  if (options_.announces_itself) {
+  if (options_.writes_row_at_start) {
     WriteRow();
   }
   if (options_.heartbeat > absl::ZeroDuration()) {
@@ -116,7 +116,7 @@
 void PlatformWorker::CheckMemory(const std::string& model) {
   const double held = static_cast<double>(options_.models.size() + (Holds(model) ? 0 : 1));
   if (options_.memory_mb > 0 && held * options_.model_memory_mb > options_.memory_mb) {
-    was_overfilled_ = true;
+    exceeded_memory_ = true;
   }
 }
 
@@ -184,7 +184,7 @@
 
 void PlatformWorker::RunRequest(const std::shared_ptr<ServerExchange>& exchange) {
   const std::string id = Field(*exchange, "Attempt-Id");
-  if (fault_ == WorkerFault::kSheds) {
+  if (fault_ == WorkerFault::kRejects) {
     exchange->Answer(503, "Service Unavailable", NotExecuted(id), "");
     return;
   }
@@ -198,8 +198,8 @@
                    Field(*exchange, "Last-Event-Id"), loop_->Now()});
   Run* const run = &runs_.back();
   exchange->OnCallerGone([this, run] {
-    run->caller_left = true;
-    run->caller_left_at = loop_->Now();
+    run->caller_disconnected = true;
+    run->caller_disconnected_at = loop_->Now();
   });
   switch (fault_) {
     case WorkerFault::kSilent:
@@ -231,7 +231,7 @@
   run->ended = true;
   exchange->Answer(200, "OK", {{"Attempt-Id", id}, {"Server-Seal", absl::StrCat("seal-", id)}},
                    absl::StrCat("answer of ", options_.id,
-                                options_.names_request ? absl::StrCat(" to ", id) : ""));
+                                options_.includes_request_id ? absl::StrCat(" to ", id) : ""));
 }
 
 StreamShape PlatformWorker::ShapeOf(const std::string& target) const {
@@ -273,7 +273,7 @@
   }
   stream->exchange->WriteChunk(
       absl::StrCat("id: ", stream->next, "\ndata: event ", stream->next,
-                   options_.names_request ? absl::StrCat(" of ", stream->run->id) : "",
+                   options_.includes_request_id ? absl::StrCat(" of ", stream->run->id) : "",
                    std::string(stream->shape.padding, '.'), "\n\n"));
   ++stream->next;
   ++stream->sent;
--- a/emulator/platform_worker.h
+++ b/emulator/platform_worker.h
@@ -25,7 +25,7 @@
   // Accepts the request and never answers.
   kSilent,
   // Answers 503, marked as not run.
-  kSheds,
+  kRejects,
   // Answers with the answer to another request.
   kOtherRequest,
   // Encodes the body although the request did not accept an encoding.
@@ -58,9 +58,9 @@
   absl::Duration load_time = absl::Milliseconds(30);
   int events_before_break = 3;
   // True if answers and events name the request they belong to.
-  bool names_request = false;
+  bool includes_request_id = false;
   // True if the worker writes its row when it is constructed.
-  bool announces_itself = true;
+  bool writes_row_at_start = true;
   // Interval at which a changed row is written again; 0 writes it only when models are loaded or
   // unloaded.
   absl::Duration heartbeat = absl::ZeroDuration();
@@ -85,8 +85,8 @@
     std::string last_event_id;
     absl::Time began;
     bool ended = false;
-    bool caller_left = false;
-    absl::Time caller_left_at = absl::InfiniteFuture();
+    bool caller_disconnected = false;
+    absl::Time caller_disconnected_at = absl::InfiniteFuture();
   };
   // A request that reached the worker, whether rejected or not.
   struct Arrival {
@@ -107,14 +107,14 @@
   // Writes the worker's row with this address instead of its own, e.g. a relay's.
   void Announce(const std::string& address);
   // True if the worker was ordered to load more than its memory allows.
-  bool was_overfilled() const { return was_overfilled_; }
+  bool exceeded_memory() const { return exceeded_memory_; }
   const std::list<Run>& runs() const { return runs_; }
   const std::vector<Arrival>& arrivals() const { return arrivals_; }
   const std::vector<Order>& orders() const { return orders_; }
   bool Holds(const std::string& model) const { return options_.models.contains(model); }
   std::string address() const { return server_.address(); }
   // Simulates an order of another holder with this token.
-  void SeeToken(std::uint64_t token) { highest_token_ = token; }
+  void SetHighestToken(std::uint64_t token) { highest_token_ = token; }
 
  private:
   struct Stream;
@@ -145,7 +145,7 @@
   std::uint64_t sequence_ = 0;
   std::uint64_t highest_token_ = 0;
   std::string announced_address_;
-  bool was_overfilled_ = false;
+  bool exceeded_memory_ = false;
   bool adapters_changed_ = false;
   bool draining_ = false;
   bool busy_ = false;
--- a/tests/emulator/engine_test.cc
+++ b/tests/emulator/engine_test.cc
@@ -78,7 +78,7 @@
     return engine.Unload({NextFence(), ModelName(model)}, now);
   }
   void LoadAndWait(const std::string& model, std::uint32_t memory_mib = 1024) {
-    REQUIRE(Load(model, memory_mib) == OrderResult::kTaken);
+    REQUIRE(Load(model, memory_mib) == OrderResult::kAccepted);
     RunFor(absl::Seconds(1000));
     REQUIRE(StateOf(model) == ReplicaState::kReady);
   }
@@ -127,7 +127,7 @@
 
 TEST_CASE_FIXTURE(EngineTest, "an order that is repeated has no second effect") {
   const LoadOrder order{NextFence(), ModelName("m"), {}, "m", 1024};
-  REQUIRE(engine.Load(order, now) == OrderResult::kTaken);
+  REQUIRE(engine.Load(order, now) == OrderResult::kAccepted);
   CHECK(engine.Load(order, now) == OrderResult::kFenced);
   CHECK(recorder.Count(EngineEvent::kLoadBegin) == 1);
   REQUIRE(recorder.entries.back().event == EngineEvent::kOrderRefused);
@@ -136,25 +136,26 @@
 
 TEST_CASE_FIXTURE(EngineTest, "a load of a loaded replica changes only its generation") {
   LoadAndWait("m");
-  REQUIRE(engine.Load({NextFence(9), ModelName("m"), {}, "m", 1024}, now) == OrderResult::kTaken);
+  REQUIRE(engine.Load({NextFence(9), ModelName("m"), {}, "m", 1024}, now) ==
+          OrderResult::kAccepted);
   CHECK(engine.Status(now).replicas[0].generation == GrantGeneration(9));
   CHECK(engine.memory_used_mib() == 1024);
   CHECK(recorder.replicas[ModelName("m")] == 1);
 }
 
 TEST_CASE_FIXTURE(EngineTest, "an overcommit is refused, logged and has no effect") {
-  REQUIRE(Load("a", 3000) == OrderResult::kTaken);
+  REQUIRE(Load("a", 3000) == OrderResult::kAccepted);
   CHECK(Load("b", 1097) == OrderResult::kOutOfMemory);
   CHECK(recorder.Count(EngineEvent::kOvercommit) == 1);
   CHECK(engine.memory_used_mib() == 3000);
   CHECK(recorder.replicas[ModelName("b")] == 0);
-  CHECK(Load("c", 1096) == OrderResult::kTaken);
+  CHECK(Load("c", 1096) == OrderResult::kAccepted);
 }
 
 TEST_CASE_FIXTURE(EngineTest, "an adapter needs its base on the worker, ready before itself") {
   CHECK(Load("adapter", 10, "base") == OrderResult::kBaseNotLoaded);
-  REQUIRE(Load("base", 1024) == OrderResult::kTaken);
-  REQUIRE(Load("adapter", 10, "base") == OrderResult::kTaken);
+  REQUIRE(Load("base", 1024) == OrderResult::kAccepted);
+  REQUIRE(Load("adapter", 10, "base") == OrderResult::kAccepted);
   RunFor(absl::Seconds(10));
   CHECK(StateOf("adapter") == ReplicaState::kLoading);
   RunFor(absl::Seconds(10));
@@ -224,7 +225,7 @@
   LoadAndWait("m");
   const GenerateAnswer running = Generate("r1", "m", 10);
   RunFor(absl::Milliseconds(20));
-  REQUIRE(Unload("m") == OrderResult::kTaken);
+  REQUIRE(Unload("m") == OrderResult::kAccepted);
   CHECK(StateOf("m") == ReplicaState::kDraining);
   CHECK(Generate("r2", "m", 10).result == GenerateResult::kNotLoaded);
   CHECK(engine.memory_used_mib() == 1024);
--- a/tests/serving/gateway_test.cc
+++ b/tests/serving/gateway_test.cc
@@ -110,7 +110,7 @@
 TEST_CASE("a repeatable request goes to a second worker after a failure") {
   for (const WorkerFault fault :
        {WorkerFault::kFails, WorkerFault::kLosesAnswer, WorkerFault::kOtherRequest,
-        WorkerFault::kSheds, WorkerFault::kSilent, WorkerFault::kEncodes}) {
+        WorkerFault::kRejects, WorkerFault::kSilent, WorkerFault::kEncodes}) {
     CAPTURE(static_cast<int>(fault));
     GatewayFixture fixture;
     TestNode* const node = fixture.AddNode("n1");
@@ -158,7 +158,7 @@
 
 TEST_CASE("a request that a worker refused is refused with 503 and a Retry-After") {
   GatewayFixture fixture;
-  fixture.AddPlainWorker("w1")->SetFault(WorkerFault::kSheds);
+  fixture.AddPlainWorker("w1")->SetFault(WorkerFault::kRejects);
   TestNode* const node = fixture.AddNode("n1");
   const auto call = fixture.Ask(node, TestRequest{});
   CHECK(call->head.status == 503);
@@ -293,7 +293,7 @@
   const auto call = fixture.Send(node, TestRequest{});
   REQUIRE(fixture.Wait([&] { return !worker->runs().empty(); }));
   call->exchange->Cancel();
-  CHECK(fixture.Wait([&] { return worker->runs().front().caller_left; }));
+  CHECK(fixture.Wait([&] { return worker->runs().front().caller_disconnected; }));
 }
 
 TEST_CASE("a running request gets its final answer at the route's timeout") {
@@ -418,7 +418,7 @@
   GatewayFixture fixture;
   auto* const worker = fixture.AddModelWorker("w1", "m1");
   TestNode* const node = fixture.AddNode("n1");
-  worker->SeeToken(1000000);
+  worker->SetHighestToken(1000000);
   TestRequest request = StreamRequest("/stream/x", "m2");
   request.deadline_ms = 1500;
   const auto call = fixture.Ask(node, request);
--- a/tests/simulation/simulated_fleet.cc
+++ b/tests/simulation/simulated_fleet.cc
@@ -286,7 +286,7 @@
     return Error::kUnavailable;
   }
   emulator::Engine& engine = *found->second;
-  emulator::OrderResult result = emulator::OrderResult::kTaken;
+  emulator::OrderResult result = emulator::OrderResult::kAccepted;
   if (const auto* fence = std::get_if<FenceCall>(&call.order)) {
     result = engine.Fence(fence->incarnation, fence->epoch, now_);
   } else if (const auto* load = std::get_if<LoadOrder>(&call.order)) {
@@ -295,7 +295,7 @@
     result = engine.Unload(*unload, now_);
   }
   switch (result) {
-    case emulator::OrderResult::kTaken:
+    case emulator::OrderResult::kAccepted:
       return engine.Status(now_);
     case emulator::OrderResult::kFenced:
       return Error::kFenced;
--- a/tests/soak/promises.cc
+++ b/tests/soak/promises.cc
@@ -168,7 +168,7 @@
       return;
     }
     for (const auto& [worker, run] : runs_.RunsOf(request)) {
-      if (!run->ended && run->caller_left_at > limit) {
+      if (!run->ended && run->caller_disconnected_at > limit) {
         Broken("a caller that left ends its run",
                absl::StrCat(Describe(request), " at worker ", worker));
       }
@@ -260,7 +260,7 @@
   void CheckOrders() {
     std::map<std::uint64_t, std::string> holders;
     for (const SoakWorkerView& view : workers_) {
-      if (view.worker->was_overfilled()) {
+      if (view.worker->exceeded_memory()) {
         Broken("memory is never overcommitted", absl::StrCat("worker ", view.id));
       }
       std::uint64_t highest = 0;
--- a/tests/soak/run_index.cc
+++ b/tests/soak/run_index.cc
@@ -51,9 +51,9 @@
     absl::StrAppend(&text, ", run at ", worker, " ",
                     absl::FormatDuration(run->began - records_.traffic_began),
                     run->ended ? " ended" : "");
-    if (run->caller_left) {
+    if (run->caller_disconnected) {
       absl::StrAppend(&text, " caller left ",
-                      absl::FormatDuration(run->caller_left_at - records_.traffic_began));
+                      absl::FormatDuration(run->caller_disconnected_at - records_.traffic_began));
     }
   }
   return text;
--- a/tests/soak/soak_faults.cc
+++ b/tests/soak/soak_faults.cc
@@ -22,7 +22,7 @@
       return WorkerFault::kFails;
     case FaultKind::kWorkerSheds:
     case FaultKind::kWorkersShed:
-      return WorkerFault::kSheds;
+      return WorkerFault::kRejects;
     case FaultKind::kWorkerLosesAnswers:
     case FaultKind::kWorkersLoseAnswers:
       return WorkerFault::kLosesAnswer;
@@ -67,7 +67,7 @@
     case FaultKind::kStoreLosesAnswers:
       return StoreFault::kLoseAnswers;
     case FaultKind::kStoreActsLate:
-      return StoreFault::kActsLate;
+      return StoreFault::kAppliesLate;
     default:
       return StoreFault::kNone;
   }
--- a/tests/soak/soak_run.cc
+++ b/tests/soak/soak_run.cc
@@ -115,10 +115,10 @@
   options.shapes[kLargeStreamTarget] = kLargeStream;
   options.shapes[kLargeOnceTarget] = kLargeStream;
   options.load_time = absl::Milliseconds(300);
-  options.names_request = true;
+  options.includes_request_id = true;
   options.checks_tokens = WorkersCheckTokens();
   options.heartbeat = kHeartbeat;
-  options.announces_itself = false;
+  options.writes_row_at_start = false;
   options.model_memory_mb = kModelMemoryMb;
   options.memory_mb = kWorkerMemoryMb;
   if (!model.empty()) {
--- a/tests/soak_checks/fixture.h
+++ b/tests/soak_checks/fixture.h
@@ -20,7 +20,7 @@
   Fixture() {
     options.id = "w1";
     options.service = "plain";
-    options.names_request = true;
+    options.includes_request_id = true;
     options.model_memory_mb = 100;
     options.memory_mb = 150;
     worker = std::make_unique<emulator::PlatformWorker>(&loop, &store, options);
--- a/tests/soak_checks/planned_work_test.cc
+++ b/tests/soak_checks/planned_work_test.cc
@@ -51,7 +51,7 @@
   Fixture fixture;
   fixture.records.planned_only = true;
   AddUnanswered(&fixture, false, 1.1);
-  fixture.worker->SetFault(emulator::WorkerFault::kSheds);
+  fixture.worker->SetFault(emulator::WorkerFault::kRejects);
   fixture.Run("r0", "/read/x", "");
   CHECK(fixture.Broken() == Names{"none is silently dropped", kLost});
 }
--- a/tests/soak_checks/repeat_budget_test.cc
+++ b/tests/soak_checks/repeat_budget_test.cc
@@ -32,7 +32,7 @@
 TEST_CASE("arrivals that a worker refuses are counted") {
   Fixture fixture;
   fixture.records.repeats = {0, 1, absl::Seconds(100)};
-  fixture.worker->SetFault(emulator::WorkerFault::kSheds);
+  fixture.worker->SetFault(emulator::WorkerFault::kRejects);
   AddRepeated(&fixture);
   CHECK(fixture.Broken() == Names{kBudget});
 }
