--- a/include/hingespan/node/caller_answer.h
+++ b/include/hingespan/node/caller_answer.h
@@ -49,7 +49,7 @@
   virtual bool caller_gone() const = 0;
 };
 
-// Create answers that write to `stream`, the caller's connection.
+// Creates an answer that is written to `stream`, the caller's connection.
 std::unique_ptr<CallerAnswer> MakeStreamedAnswer(const httplib::Request& request,
                                                  const std::string& caller_request_id,
                                                  DeadlineStream* stream,
