--- a/include/hingespan/operator/sheet.h
+++ b/include/hingespan/operator/sheet.h
@@ -1,9 +1,13 @@
 // A sheet is the table as a TOML or CSV file that operators edit.
 //
 // TOML: each row is a table with the row's name, `[NAME]`, followed by `field = value` lines.
-// Weights are written as `weights = {ZONE = N}`. CSV (RFC 4180): the header line has `name` and the
-// fields, then each line is a row. Weights are written as "z1=80 z2=20". An omitted field has its
-// default. The optional field `revision` is the revision at which the row was read.
+// Weights are written as `weights = {ZONE = N}`.
+//
+// CSV (RFC 4180): the header line has `name` and the fields, then each line is a row. Weights are
+// written as "z1=80 z2=20".
+//
+// An omitted field has its default. The optional field `revision` is the revision at which the row
+// was read.
 #ifndef HINGESPAN_OPERATOR_SHEET_H_
 #define HINGESPAN_OPERATOR_SHEET_H_
 
