--- a/tests/soak/fault_plan.cc
+++ b/tests/soak/fault_plan.cc
@@ -8,8 +8,8 @@
 
 constexpr int kKinds = static_cast<int>(FaultKind::kWorkersBreakStreams) + 1;
 constexpr int kDrawnKinds = static_cast<int>(FaultKind::kWorkerSilent) + 1;
-constexpr double kLeastSeconds = 0.3;
-constexpr double kMostSeconds = 5.0;
+constexpr double kMinSeconds = 0.3;
+constexpr double kMaxSeconds = 5.0;
 
 }  // namespace
 
@@ -31,7 +31,8 @@
 
 std::vector<PlannedFault> MakeFaultPlan(const FaultPlanOptions& options) {
   std::mt19937_64 random(options.seed);
-  // Not the library's distributions: a seed is to give the same plan with any library.
+  // The distributions of the standard library differ between implementations; a seed must give the
+  // same plan with each.
   const auto fraction = [&random] { return static_cast<double>(random() >> 11) * 0x1.0p-53; };
   std::vector<PlannedFault> plan;
   absl::Duration at = absl::ZeroDuration();
@@ -44,7 +45,7 @@
     fault.kind = static_cast<FaultKind>(random() % kDrawnKinds);
     fault.at = at;
     const double part = fraction();
-    fault.duration = absl::Seconds(kLeastSeconds + (kMostSeconds - kLeastSeconds) * part * part);
+    fault.duration = absl::Seconds(kMinSeconds + (kMaxSeconds - kMinSeconds) * part * part);
     fault.duration = std::min(fault.duration, options.length - at);
     fault.target = static_cast<std::uint32_t>(random() >> 32);
     plan.push_back(fault);
--- a/tests/soak/fault_plan.h
+++ b/tests/soak/fault_plan.h
@@ -1,4 +1,4 @@
-// Which faults a run of the soak injects, and when; all of it follows from the seed.
+// Plan of the faults that a soak run injects, with their times. It depends on the seed alone.
 #ifndef TESTS_SOAK_FAULT_PLAN_H_
 #define TESTS_SOAK_FAULT_PLAN_H_
 
@@ -11,25 +11,25 @@
 namespace hingespan::soak {
 
 enum class FaultKind {
-  // Of a gateway's process. A killed or stopped one is started again.
+  // Faults of a gateway process. A killed or stopped process is restarted.
   kGatewayKill,
   kGatewayKillAll,
   kGatewayPause,
   kGatewayStop,
   kGatewayReload,
-  // Of the link between one gateway and the store.
+  // Faults of the link between one gateway and the store.
   kStoreLinkDelay,
   kStoreLinkReset,
   kStoreLinkCutTowards,
   kStoreLinkCutFrom,
   kStoreLinkSilent,
-  // Of the store itself.
+  // Faults of the store itself.
   kStoreUnavailable,
   kStoreSilent,
   kStoreLosesAnswers,
   kStoreActsLate,
   kStoreForgetsHistory,
-  // Of one worker.
+  // Faults of one worker.
   kWorkerLinkDelay,
   kWorkerLinkReset,
   kWorkerLinkSilent,
@@ -40,18 +40,18 @@
   kWorkerBreaksStreams,
   kWorkerCrash,
   kWorkerLeaves,
-  // The last one that is drawn by itself.
+  // The last kind that MakeFaultPlan draws; the kinds below occur only in a series.
   kWorkerSilent,
-  // Steps of a series. SIGTERM, also to a gateway that is stopping.
+  // Sends SIGTERM, also to a gateway that is already stopping.
   kGatewayStopAgain,
-  // SIGTERM as soon as the gateway has been started the next time.
+  // Sends SIGTERM as soon as the gateway has started the next time.
   kGatewayStopFresh,
   kGatewayStopAll,
   kConfigurationChange,
-  // Of all workers of a service.
+  // Faults of all workers of a service.
   kWorkersShed,
   kWorkersLoseAnswers,
-  // The last one.
+  // The last kind of all.
   kWorkersBreakStreams,
 };
 
@@ -59,13 +59,13 @@
   FaultKind kind = FaultKind::kGatewayKill;
   absl::Duration at;
   absl::Duration duration;
-  // Which gateway or worker, counted round.
+  // Index of the gateway or worker, modulo their number.
   std::uint32_t target = 0;
 };
 
 struct FaultPlanOptions {
   std::uint64_t seed = 0;
-  // Faults begin and end within this.
+  // Faults begin and end within this time.
   absl::Duration length = absl::Seconds(20);
   // Mean time between the beginnings of two faults.
   absl::Duration mean_gap = absl::Milliseconds(1200);
@@ -75,18 +75,19 @@
   std::uint64_t seed = 0;
   absl::Duration length = absl::Seconds(20);
   std::uint32_t gateways = 4;
-  // Kills and failing workers too.
+  // True if the series also kill gateways and let workers fail.
   bool unplanned = false;
 };
 
 const char* FaultName(FaultKind kind);
-// In order of `at`.
+// Returns single faults, sorted by `at`.
 std::vector<PlannedFault> MakeFaultPlan(const FaultPlanOptions& options);
-// Rolling restarts, repeated signals and quick changes, one over the other. In order of `at`.
+// Returns rolling restarts, repeated signals and rapid configuration changes that overlap, sorted
+// by `at`.
 std::vector<PlannedFault> MakeSeriesPlan(const SeriesPlanOptions& options);
-// Both, in order of `at`.
-std::vector<PlannedFault> Merged(std::vector<PlannedFault> left,
-                                 const std::vector<PlannedFault>& right);
+// Returns the faults of both plans, sorted by `at`.
+std::vector<PlannedFault> MergePlans(std::vector<PlannedFault> left,
+                                     const std::vector<PlannedFault>& right);
 
 }  // namespace hingespan::soak
 
--- a/tests/soak/fault_proxy.cc
+++ b/tests/soak/fault_proxy.cc
@@ -19,10 +19,10 @@
 using Error = boost::system::error_code;
 
 constexpr std::size_t kReadSize = 16 * 1024;
-// Of bytes held back; more are left in the kernel's buffers.
-constexpr std::size_t kMaxHeld = 256 * 1024;
+// Limit of pending bytes in each direction; further bytes stay in the kernel's buffers.
+constexpr std::size_t kMaxPendingBytes = 256 * 1024;
 
-tcp::endpoint EndpointOf(const std::string& address) {
+tcp::endpoint ParseEndpoint(const std::string& address) {
   const Result<HostPort> parsed = ParseHostPort(address);
   return {boost::asio::ip::make_address(parsed->host), static_cast<unsigned short>(parsed->port)};
 }
@@ -32,9 +32,9 @@
   absl::Duration delay;
 };
 
-// One way of a connection.
-struct Way {
-  Way(tcp::socket* source_socket, tcp::socket* target_socket, bool to_target)
+// One direction of a connection.
+struct Direction {
+  Direction(tcp::socket* source_socket, tcp::socket* target_socket, bool to_target)
       : source(source_socket),
         target(target_socket),
         towards_target(to_target),
@@ -45,13 +45,13 @@
   bool towards_target;
   boost::asio::steady_timer timer;
   std::array<char, kReadSize> buffer;
-  std::deque<std::string> held;
-  std::size_t held_bytes = 0;
+  std::deque<std::string> pending;
+  std::size_t pending_bytes = 0;
   bool reading = false;
   bool writing = false;
   bool waiting = false;
   bool source_ended = false;
-  bool end_passed_on = false;
+  bool end_forwarded = false;
 };
 
 class Connection : public std::enable_shared_from_this<Connection> {
@@ -59,8 +59,8 @@
   Connection(tcp::socket client, const LinkState* state)
       : client_(std::move(client)),
         server_(client_.get_executor()),
-        up_(&client_, &server_, true),
-        down_(&server_, &client_, false),
+        to_server_(&client_, &server_, true),
+        to_client_(&server_, &client_, false),
         state_(state) {}
 
   void Start(const tcp::endpoint& target) {
@@ -76,12 +76,12 @@
     });
   }
 
-  // Goes on with what the state of the link allows.
+  // Continues the reads and writes that the state of the link allows.
   void Pump() {
-    Read(&up_);
-    Read(&down_);
-    Write(&up_);
-    Write(&down_);
+    Read(&to_server_);
+    Read(&to_client_);
+    Write(&to_server_);
+    Write(&to_client_);
   }
 
   void Reset() {
@@ -99,33 +99,34 @@
   bool closed() const { return closed_; }
 
  private:
-  bool Held(const Way& way) const {
+  bool IsBlocked(const Direction& direction) const {
     switch (state_->fault) {
       case LinkFault::kSilent:
         return true;
       case LinkFault::kCutTowardsTarget:
-        return way.towards_target;
+        return direction.towards_target;
       case LinkFault::kCutFromTarget:
-        return !way.towards_target;
+        return !direction.towards_target;
       default:
         return false;
     }
   }
 
-  void Read(Way* way) {
-    if (closed_ || way->reading || way->source_ended || way->held_bytes >= kMaxHeld) {
+  void Read(Direction* direction) {
+    if (closed_ || direction->reading || direction->source_ended ||
+        direction->pending_bytes >= kMaxPendingBytes) {
       return;
     }
-    way->reading = true;
-    way->source->async_read_some(
-        boost::asio::buffer(way->buffer),
-        [self = shared_from_this(), way](const Error& error, std::size_t count) {
-          way->reading = false;
-          self->OnRead(way, error, count);
+    direction->reading = true;
+    direction->source->async_read_some(
+        boost::asio::buffer(direction->buffer),
+        [self = shared_from_this(), direction](const Error& error, std::size_t count) {
+          direction->reading = false;
+          self->OnRead(direction, error, count);
         });
   }
 
-  void OnRead(Way* way, const Error& error, std::size_t count) {
+  void OnRead(Direction* direction, const Error& error, std::size_t count) {
     if (closed_) {
       return;
     }
@@ -134,50 +135,51 @@
       return;
     }
     if (error) {
-      way->source_ended = true;
+      direction->source_ended = true;
     } else {
-      way->held.emplace_back(way->buffer.data(), count);
-      way->held_bytes += count;
+      direction->pending.emplace_back(direction->buffer.data(), count);
+      direction->pending_bytes += count;
     }
-    Write(way);
-    Read(way);
+    Write(direction);
+    Read(direction);
   }
 
-  void Write(Way* way) {
-    if (closed_ || way->writing || way->waiting || Held(*way)) {
+  void Write(Direction* direction) {
+    if (closed_ || direction->writing || direction->waiting || IsBlocked(*direction)) {
       return;
     }
-    if (way->held.empty()) {
-      PassEndOn(way);
+    if (direction->pending.empty()) {
+      ForwardEnd(direction);
       return;
     }
     if (state_->fault == LinkFault::kDelay) {
-      way->waiting = true;
-      way->timer.expires_after(absl::ToChronoMilliseconds(state_->delay));
-      way->timer.async_wait([self = shared_from_this(), way](const Error&) {
-        way->waiting = false;
-        if (!self->closed_ && !self->Held(*way)) {
-          self->WriteNow(way);
+      direction->waiting = true;
+      direction->timer.expires_after(absl::ToChronoMilliseconds(state_->delay));
+      direction->timer.async_wait([self = shared_from_this(), direction](const Error&) {
+        direction->waiting = false;
+        if (!self->closed_ && !self->IsBlocked(*direction)) {
+          self->WriteNow(direction);
         }
       });
       return;
     }
-    WriteNow(way);
+    WriteNow(direction);
   }
 
-  void WriteNow(Way* way) {
-    if (way->writing || way->held.empty()) {
+  void WriteNow(Direction* direction) {
+    if (direction->writing || direction->pending.empty()) {
       return;
     }
-    way->writing = true;
-    boost::asio::async_write(*way->target, boost::asio::buffer(way->held.front()),
-                             [self = shared_from_this(), way](const Error& error, std::size_t) {
-                               way->writing = false;
-                               self->OnWritten(way, error);
-                             });
+    direction->writing = true;
+    boost::asio::async_write(
+        *direction->target, boost::asio::buffer(direction->pending.front()),
+        [self = shared_from_this(), direction](const Error& error, std::size_t) {
+          direction->writing = false;
+          self->OnWritten(direction, error);
+        });
   }
 
-  void OnWritten(Way* way, const Error& error) {
+  void OnWritten(Direction* direction, const Error& error) {
     if (closed_) {
       return;
     }
@@ -185,20 +187,20 @@
       Reset();
       return;
     }
-    way->held_bytes -= way->held.front().size();
-    way->held.pop_front();
-    Write(way);
-    Read(way);
+    direction->pending_bytes -= direction->pending.front().size();
+    direction->pending.pop_front();
+    Write(direction);
+    Read(direction);
   }
 
-  void PassEndOn(Way* way) {
-    if (!way->source_ended || way->end_passed_on) {
+  void ForwardEnd(Direction* direction) {
+    if (!direction->source_ended || direction->end_forwarded) {
       return;
     }
-    way->end_passed_on = true;
+    direction->end_forwarded = true;
     Error ignored;
-    way->target->shutdown(tcp::socket::shutdown_send, ignored);
-    if (up_.end_passed_on && down_.end_passed_on) {
+    direction->target->shutdown(tcp::socket::shutdown_send, ignored);
+    if (to_server_.end_forwarded && to_client_.end_forwarded) {
       closed_ = true;
       client_.close(ignored);
       server_.close(ignored);
@@ -207,8 +209,8 @@
 
   tcp::socket client_;
   tcp::socket server_;
-  Way up_;
-  Way down_;
+  Direction to_server_;
+  Direction to_client_;
   const LinkState* state_;
   bool closed_ = false;
 };
@@ -218,7 +220,7 @@
 struct FaultProxy::Implementation : std::enable_shared_from_this<Implementation> {
   Implementation(gateway::EventLoop* loop, const std::string& target_address)
       : acceptor(loop->context(), tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0)),
-        target(EndpointOf(target_address)) {}
+        target(ParseEndpoint(target_address)) {}
 
   void Accept() {
     acceptor.async_accept([weak = weak_from_this()](const Error& error, tcp::socket socket) {
@@ -226,12 +228,12 @@
       if (self == nullptr || error) {
         return;
       }
-      self->Take(std::move(socket));
+      self->HandleConnection(std::move(socket));
       self->Accept();
     });
   }
 
-  void Take(tcp::socket socket) {
+  void HandleConnection(tcp::socket socket) {
     connections.remove_if([](const auto& connection) { return connection->closed(); });
     const auto connection = std::make_shared<Connection>(std::move(socket), &state);
     if (state.fault == LinkFault::kReset) {
--- a/tests/soak/fault_proxy.h
+++ b/tests/soak/fault_proxy.h
@@ -1,5 +1,4 @@
-// A loopback proxy for TCP whose link can be harmed from outside: delayed, reset, cut one way or
-// silenced.
+// TCP proxy on loopback that injects link faults: delay, reset, a cut in one direction or in both.
 #ifndef TESTS_SOAK_FAULT_PROXY_H_
 #define TESTS_SOAK_FAULT_PROXY_H_
 
@@ -13,22 +12,22 @@
 
 enum class LinkFault {
   kNone,
-  // Bytes arrive late, both ways.
+  // Bytes arrive late in both directions.
   kDelay,
-  // Open connections are reset, and new ones as soon as they come.
+  // Open connections are reset, and new ones as soon as they are accepted.
   kReset,
   // Bytes towards the target are held back.
   kCutTowardsTarget,
   // Bytes from the target are held back.
   kCutFromTarget,
-  // Both ways.
+  // Bytes are held back in both directions.
   kSilent,
 };
 
-// Not thread-safe; lives on its loop. Bytes that were held back pass when the fault ends.
+// Not thread-safe; runs on its event loop. Bytes that were held back are sent when the fault ends.
 class FaultProxy {
  public:
-  // Listens on a port of the kernel's choice and passes connections on to `target`, "ip:port".
+  // Listens on a port that the kernel chooses and forwards connections to `target`, "ip:port".
   FaultProxy(gateway::EventLoop* loop, const std::string& target);
   ~FaultProxy();
 
--- a/tests/soak/gateway_process.cc
+++ b/tests/soak/gateway_process.cc
@@ -33,11 +33,11 @@
 }
 
 std::string GatewayProcess::log_file() const {
-  return absl::StrCat(options_.folder, "/", options_.name, "-", lives_, ".log");
+  return absl::StrCat(options_.folder, "/", options_.name, "-", incarnation_, ".log");
 }
 
 void GatewayProcess::Launch() {
-  ++lives_;
+  ++incarnation_;
   request_address_.clear();
   const std::string settings = absl::StrCat(options_.folder, "/", options_.name, ".toml");
   std::ofstream(settings) << "[node]\nname = \"" << options_.name << "\"\nzone = \""
@@ -62,7 +62,7 @@
     }
     dup2(output, STDOUT_FILENO);
     dup2(output, STDERR_FILENO);
-    // Sockets of this process that the child kept would stay open after this process closed them.
+    // Sockets that the child inherited would stay open after this process closed them.
     close_range(STDERR_FILENO + 1, ~0U, 0);
     execl(options_.program.c_str(), options_.program.c_str(), "--settings", settings.c_str(),
           nullptr);
--- a/tests/soak/gateway_process.h
+++ b/tests/soak/gateway_process.h
@@ -1,4 +1,4 @@
-// One hingespan-gateway as a process of its own, stopped, paused, killed and restarted by signals.
+// A hingespan-gateway child process that is stopped, paused, killed and restarted by signals.
 #ifndef TESTS_SOAK_GATEWAY_PROCESS_H_
 #define TESTS_SOAK_GATEWAY_PROCESS_H_
 
@@ -16,14 +16,14 @@
   std::string name;
   std::string zone;
   std::string store_address;
-  // Holds the settings and the log of each life.
+  // Folder with the settings and the log of each incarnation.
   std::string folder;
   int stop_seconds = 6;
   bool workers_check_tokens = true;
   RepeatLimits repeats;
 };
 
-// Not thread-safe. Destroying it kills the process by its id.
+// Not thread-safe. The destructor kills the process.
 class GatewayProcess {
  public:
   explicit GatewayProcess(GatewayProcessOptions options);
@@ -31,19 +31,20 @@
   GatewayProcess(const GatewayProcess&) = delete;
   GatewayProcess& operator=(const GatewayProcess&) = delete;
 
-  // Starts a life; it listens some time later.
+  // Starts a new incarnation; it listens some time later.
   void Launch();
-  // Whether it takes requests, as its log says.
+  // Returns whether the process accepts requests, according to its log.
   bool Listens();
   void Signal(int signal);
-  // Takes note of an end. `exit_code` is of the wait status; true once, when it has ended.
+  // Returns true once, after the process has ended, and stores its status of waitpid in
+  // `wait_status`.
   bool Reap(int* wait_status);
 
   const std::string& name() const { return options_.name; }
   bool running() const { return pid_ > 0; }
-  // Running, and found to listen.
+  // True if the process runs and is known to listen.
   bool serving() const { return running() && !request_address_.empty(); }
-  int lives() const { return lives_; }
+  int incarnation() const { return incarnation_; }
   std::string request_address() const { return request_address_; }
   std::string log_file() const;
 
@@ -52,7 +53,7 @@
 
   GatewayProcessOptions options_;
   pid_t pid_ = -1;
-  int lives_ = 0;
+  int incarnation_ = 0;
   std::string request_address_;
 };
 
--- a/tests/soak/kept_caller.cc
+++ b/tests/soak/kept_caller.cc
@@ -21,14 +21,14 @@
 
 using SegmentSize = boost::asio::detail::socket_option::integer<IPPROTO_TCP, TCP_MAXSEG>;
 
-// As over a network: with segments as large as those of loopback the other side's kernel takes
+// Segment size of a real network: with the large segments of loopback the kernel would accept
 // megabytes of an answer at once.
 constexpr int kSegmentSize = 1460;
-constexpr absl::Duration kConnectAgain = absl::Milliseconds(50);
+constexpr absl::Duration kReconnectDelay = absl::Milliseconds(50);
 
 }  // namespace
 
-class KeptCaller::Implementation : public std::enable_shared_from_this<Implementation> {
+class KeepAliveCaller::Implementation : public std::enable_shared_from_this<Implementation> {
  public:
   Implementation(gateway::EventLoop* loop, const CallerPace& pace, Address address,
                  NextRequest next)
@@ -44,7 +44,7 @@
     const std::string address = address_();
     const Result<HostPort> parsed = ParseHostPort(address);
     if (address.empty() || !parsed.ok()) {
-      After(kConnectAgain, [this] { Connect(); });
+      After(kReconnectDelay, [this] { Connect(); });
       return;
     }
     Error error;
@@ -62,7 +62,7 @@
             return;
           }
           if (failed) {
-            After(kConnectAgain, [this] { Connect(); });
+            After(kReconnectDelay, [this] { Connect(); });
             return;
           }
           Error ignored;
@@ -80,7 +80,7 @@
   }
 
  private:
-  // Replaces what was to be done next.
+  // Runs `task` after `time`, in place of the task that was scheduled before.
   void After(absl::Duration time, std::function<void()> task) {
     timer_.expires_after(absl::ToChronoNanoseconds(time));
     timer_.async_wait(
@@ -103,10 +103,10 @@
     current_ = last_ = record;
     parser_ = std::make_unique<gateway::AnswerParser>(
         [this](absl::string_view piece) { current_->OnBody(piece); });
-    head_given_ = false;
+    head_delivered_ = false;
     boost::asio::async_write(socket_, boost::asio::buffer(message_),
                              [self = shared_from_this()](const Error&, std::size_t) {
-                               // A failure shows where the connection is read.
+                               // Errors are handled where the connection is read.
                              });
   }
 
@@ -127,7 +127,7 @@
       return;
     }
     if (current_ == nullptr) {
-      // It belongs to no request.
+      // These bytes belong to no request.
       last_->surplus = true;
       Reconnect();
       return;
@@ -139,10 +139,10 @@
       return;
     }
     if (parser_->head_complete()) {
-      GiveHead();
+      DeliverHead();
     }
     if (!parser_->complete()) {
-      ReadOn();
+      ContinueReading();
       return;
     }
     current_->surplus = taken < count;
@@ -152,12 +152,12 @@
       Reconnect();
       return;
     }
-    // The end of the connection is to be seen also while no request is out.
+    // Reads on, so that the end of the connection is noticed while no request is in flight.
     Read();
     After(pace_.pause, [this] { SendNext(); });
   }
 
-  void ReadOn() {
+  void ContinueReading() {
     if (pace_.read_interval == absl::ZeroDuration()) {
       Read();
       return;
@@ -165,9 +165,9 @@
     After(pace_.read_interval, [this] { Read(); });
   }
 
-  void GiveHead() {
-    if (!head_given_) {
-      head_given_ = true;
+  void DeliverHead() {
+    if (!head_delivered_) {
+      head_delivered_ = true;
       (void)current_->OnHead(parser_->head());
     }
   }
@@ -178,7 +178,7 @@
         parser_->FeedEnd();
       }
       if (parser_->head_complete()) {
-        GiveHead();
+        DeliverHead();
       }
       current_->ended_in_order = in_order;
       Finish(parser_->complete() ? ExchangeResult::kComplete : ExchangeResult::kBroken);
@@ -206,19 +206,19 @@
   std::unique_ptr<gateway::AnswerParser> parser_;
   RequestRecord* current_ = nullptr;
   RequestRecord* last_ = nullptr;
-  // Counts connections: reads of an earlier one are of no interest.
+  // Number of the connection; reads of an earlier one are ignored.
   unsigned int connection_ = 0;
-  bool head_given_ = false;
+  bool head_delivered_ = false;
   bool closed_ = false;
 };
 
-KeptCaller::KeptCaller(gateway::EventLoop* loop, const CallerPace& pace, Address address,
-                       NextRequest next)
+KeepAliveCaller::KeepAliveCaller(gateway::EventLoop* loop, const CallerPace& pace, Address address,
+                                 NextRequest next)
     : implementation_(
           std::make_shared<Implementation>(loop, pace, std::move(address), std::move(next))) {
   implementation_->Connect();
 }
 
-KeptCaller::~KeptCaller() { implementation_->Close(); }
+KeepAliveCaller::~KeepAliveCaller() { implementation_->Close(); }
 
 }  // namespace hingespan::soak
--- a/tests/soak/kept_caller.h
+++ b/tests/soak/kept_caller.h
@@ -1,5 +1,5 @@
-// A caller that sends one request after another on a connection of its own until the other side
-// ends it, and then opens the next one.
+// Caller that sends its requests one after another on a persistent connection and reconnects when
+// the server closes it.
 #ifndef TESTS_SOAK_KEPT_CALLER_H_
 #define TESTS_SOAK_KEPT_CALLER_H_
 
@@ -15,27 +15,29 @@
 namespace hingespan::soak {
 
 struct CallerPace {
-  // Between an answer and the next request.
+  // Pause between an answer and the next request.
   absl::Duration pause;
-  // Of the socket (SO_RCVBUF); 0: the kernel's choice.
+  // Size of the socket's receive buffer (SO_RCVBUF); 0 leaves the kernel's default.
   int receive_buffer = 0;
   std::size_t read_size = 16 * 1024;
-  // Between two reads of an answer.
+  // Pause between two reads of an answer.
   absl::Duration read_interval;
 };
 
-// Not thread-safe; lives on its loop. Heeds `Connection: close`.
-class KeptCaller {
+// Not thread-safe; runs on its event loop. Honours `Connection: close`.
+class KeepAliveCaller {
  public:
-  // Where to connect to; empty: nowhere for now.
+  // Returns the address to connect to, or an empty string while there is none.
   using Address = std::function<std::string()>;
-  // The next request and its bytes, or null when no more are sent. The record outlives the caller.
+  // Returns the next request and stores its bytes in `bytes`; null when no more are sent. The
+  // record must outlive the caller.
   using NextRequest = std::function<RequestRecord*(std::string* bytes)>;
 
-  KeptCaller(gateway::EventLoop* loop, const CallerPace& pace, Address address, NextRequest next);
-  ~KeptCaller();
-  KeptCaller(const KeptCaller&) = delete;
-  KeptCaller& operator=(const KeptCaller&) = delete;
+  KeepAliveCaller(gateway::EventLoop* loop, const CallerPace& pace, Address address,
+                  NextRequest next);
+  ~KeepAliveCaller();
+  KeepAliveCaller(const KeepAliveCaller&) = delete;
+  KeepAliveCaller& operator=(const KeepAliveCaller&) = delete;
 
  private:
   class Implementation;
--- a/tests/soak/planned_work.cc
+++ b/tests/soak/planned_work.cc
@@ -6,16 +6,16 @@
 namespace hingespan::soak {
 namespace {
 
-// Of a machine: undisturbed for so long before the request.
-constexpr absl::Duration kContact = absl::Seconds(4);
-// After a stop was asked for, beyond the time within which it ends.
-constexpr absl::Duration kAfterGrace = absl::Seconds(1);
-// After new settings were told of.
+// Time before the request without any unplanned disturbance.
+constexpr absl::Duration kUndisturbedTime = absl::Seconds(4);
+// Time after the grace period in which an end still counts as part of the stop.
+constexpr absl::Duration kStopSlack = absl::Seconds(1);
+// Time after SIGHUP within which new settings are applied.
 constexpr absl::Duration kSettingsApply = absl::Seconds(2);
-// A request may be broken off at the end of the grace period when it was sent so soon after
-// SIGTERM.
-constexpr absl::Duration kSentEarly = absl::Seconds(3);
-constexpr double kLastPartOfGrace = 1.0 / 6;
+// A request that was sent up to this long after SIGTERM may be cut off at the end of the grace
+// period.
+constexpr absl::Duration kEarlyRequestTime = absl::Seconds(3);
+constexpr double kFinalGraceFraction = 1.0 / 6;
 constexpr absl::Duration kRouteTimeout = absl::Seconds(10);
 
 class PlannedWorkCheck {
@@ -31,7 +31,7 @@
     if (request.ended_at - request.sent >= std::min(request.deadline, kRouteTimeout)) {
       return false;
     }
-    return IsAroundPlannedWork(request) && !IsOutOfGrace(request);
+    return IsAroundPlannedWork(request) && !WasCutByGracePeriod(request);
   }
 
  private:
@@ -39,25 +39,26 @@
     if (records_.planned_only) {
       return true;
     }
-    if (records_.DisturbedUnplanned(request.sent - kContact, request.ended_at)) {
+    if (records_.DisturbedUnplanned(request.sent - kUndisturbedTime, request.ended_at)) {
       return false;
     }
     return std::any_of(records_.signals.begin(), records_.signals.end(), [&](const auto& signal) {
       if (!IsOf(signal, request) || request.ended_at < signal.at) {
         return false;
       }
-      return signal.signal == SIGTERM ? request.ended_at <= signal.at + records_.grace + kAfterGrace
+      return signal.signal == SIGTERM ? request.ended_at <= signal.at + records_.grace + kStopSlack
                                       : request.sent <= signal.at + kSettingsApply;
     });
   }
 
-  // Its answer was still being made, or taken by a slow caller, as the grace period ended.
-  bool IsOutOfGrace(const RequestRecord& request) const {
+  // Returns whether the answer was still being produced, or read by a slow caller, when the grace
+  // period ended.
+  bool WasCutByGracePeriod(const RequestRecord& request) const {
     const auto stop = std::find_if(
         records_.signals.begin(), records_.signals.end(),
         [&](const auto& signal) { return signal.signal == SIGTERM && IsOf(signal, request); });
-    if (stop == records_.signals.end() || request.sent > stop->at + kSentEarly ||
-        request.ended_at < stop->at + records_.grace * (1 - kLastPartOfGrace)) {
+    if (stop == records_.signals.end() || request.sent > stop->at + kEarlyRequestTime ||
+        request.ended_at < stop->at + records_.grace * (1 - kFinalGraceFraction)) {
       return false;
     }
     const RunIndex::RunList& runs = runs_.RunsOf(request);
@@ -66,7 +67,7 @@
   }
 
   static bool IsOf(const OperatorSignal& signal, const RequestRecord& request) {
-    return signal.gateway == request.gateway && signal.life == request.life;
+    return signal.gateway == request.gateway && signal.incarnation == request.incarnation;
   }
 
   const SoakRecords& records_;
--- a/tests/soak/planned_work.h
+++ b/tests/soak/planned_work.h
@@ -1,4 +1,4 @@
-// The promise that planned work costs no request that was read.
+// Check that planned operator work (stops, reloads) loses no request that a gateway has read.
 #ifndef TESTS_SOAK_PLANNED_WORK_H_
 #define TESTS_SOAK_PLANNED_WORK_H_
 
@@ -9,6 +9,7 @@
 
 namespace hingespan::soak {
 
+// Appends each lost request to `broken`.
 void CheckPlannedWork(const SoakRecords& records, const RunIndex& runs,
                       std::vector<BrokenPromise>* broken);
 
--- a/tests/soak/promises.cc
+++ b/tests/soak/promises.cc
@@ -17,20 +17,20 @@
 using emulator::PlatformWorker;
 using gateway::ExchangeResult;
 
-// Bounds of the users' pages, each with what a busy machine may add.
+// Bounds that the user documentation states, each with an allowance for a busy machine.
 constexpr absl::Duration kAnswerSlack = absl::Seconds(2);
 constexpr absl::Duration kConfigurationInForce = absl::Seconds(4);
 constexpr absl::Duration kRollbackSlack = absl::Milliseconds(500);
 constexpr absl::Duration kDrainTime = absl::Seconds(4);
 constexpr absl::Duration kCallerGoneTime = absl::Seconds(2);
-// A gateway is in touch when nothing was wrong with it for so long.
-constexpr absl::Duration kContact = absl::Seconds(4);
-// Requests that come later than this after a stop was asked for may find nobody.
-constexpr absl::Duration kTakenAfterStop = absl::Seconds(1);
-// Once all is in order again; a stream takes 0.4 s.
-constexpr absl::Duration kSlowInGoodTimes = absl::Seconds(5);
-constexpr std::size_t kShownBytes = 80;
-constexpr double kServedAfterFaults = 0.9;
+// A gateway counts as undisturbed after this long without a disturbance.
+constexpr absl::Duration kUndisturbedTime = absl::Seconds(4);
+// Requests that are sent later than this after SIGTERM may find the gateway closed.
+constexpr absl::Duration kAcceptedAfterStop = absl::Seconds(1);
+// Longest time of a request after recovery; a stream takes 0.4 s.
+constexpr absl::Duration kMaxLatencyAfterRecovery = absl::Seconds(5);
+constexpr std::size_t kMaxShownBytes = 80;
+constexpr double kMinServedAfterFaults = 0.9;
 
 class Checker {
  public:
@@ -55,35 +55,35 @@
     CheckLeaves();
     CheckOrders();
     CheckRecovery();
-    for (const std::string& odd : records_.odd_ends) {
-      Broken("processes end only when they are told to", odd);
+    for (const std::string& failure : records_.process_failures) {
+      ReportBroken("processes end only when they are told to", failure);
     }
     return std::move(broken_);
   }
 
  private:
-  void Broken(std::string promise, std::string what) {
+  void ReportBroken(std::string promise, std::string what) {
     broken_.push_back({std::move(promise), std::move(what)});
   }
 
   std::string Describe(const RequestRecord& request) const { return runs_.Describe(request); }
 
-  // A caller that keeps its connection may find that it has been closed: then nothing was read.
+  // A persistent connection may have been closed before the request arrived; then it was not read.
   bool MayBeUnread(const RequestRecord& request) const {
-    return request.on_kept_connection && !runs_.WasRead(request);
+    return request.on_persistent_connection && !runs_.WasRead(request);
   }
 
-  bool InTouch(std::size_t gateway, absl::Time from, absl::Time to) const {
-    using Of = Disturbance::Of;
-    return !records_.Disturbed(Of::kGateway, gateway, from - kContact, to) &&
-           !records_.Disturbed(Of::kStoreLink, gateway, from - kContact, to) &&
-           !records_.Disturbed(Of::kStore, 0, from - kContact, to);
+  bool WasUndisturbed(std::size_t gateway, absl::Time from, absl::Time to) const {
+    using Component = Disturbance::Component;
+    return !records_.Disturbed(Component::kGateway, gateway, from - kUndisturbedTime, to) &&
+           !records_.Disturbed(Component::kStoreLink, gateway, from - kUndisturbedTime, to) &&
+           !records_.Disturbed(Component::kStore, 0, from - kUndisturbedTime, to);
   }
 
-  // Each caller receives the whole answer to its own request.
+  // Checks that each caller receives the complete answer to its own request.
   void CheckAnswer(const RequestRecord& request) {
     if (request.surplus) {
-      Broken("no bytes behind an answer", Describe(request));
+      ReportBroken("no bytes behind an answer", Describe(request));
     }
     const bool success = request.head.status / 100 == 2;
     if (!success || request.kind == RequestKind::kProbe) {
@@ -94,14 +94,14 @@
     const std::string wanted_seal = absl::StrCat("seal-", request.id);
     if (id == nullptr || *id != request.id || seal == nullptr ||
         seal->compare(0, wanted_seal.size(), wanted_seal) != 0) {
-      Broken("own answer", Describe(request));
+      ReportBroken("own answer", Describe(request));
       return;
     }
     if (request.IsStream()) {
       CheckStream(request);
     } else if (request.result == ExchangeResult::kComplete &&
                !absl::StrContains(request.body, absl::StrCat(" to ", request.id))) {
-      Broken("own answer", absl::StrCat(Describe(request), " body ", request.body));
+      ReportBroken("own answer", absl::StrCat(Describe(request), " body ", request.body));
     }
   }
 
@@ -114,47 +114,48 @@
                                               request.id, std::string(request.padding, '.'));
       const bool cut_off = !complete && index + 1 == events.size();
       if (events[index] != wanted && !cut_off) {
-        Broken("events in order",
-               absl::StrCat(Describe(request), " event ", events[index].substr(0, kShownBytes)));
+        ReportBroken("events in order", absl::StrCat(Describe(request), " event ",
+                                                     events[index].substr(0, kMaxShownBytes)));
         return;
       }
       ++next;
     }
     if (complete && next != request.events + 1) {
-      Broken("a broken stream does not look complete", Describe(request));
+      ReportBroken("a broken stream does not look complete", Describe(request));
     }
   }
 
-  // A request marked as not repeatable runs at most once, and a refusal is true.
+  // Checks that a request marked as not repeatable runs at most once, and not at all if it was
+  // refused.
   void CheckRuns(const RequestRecord& request) {
     const std::size_t count = runs_.RunsOf(request).size();
     if (request.MayRunAgain() || request.kind == RequestKind::kProbe) {
       return;
     }
     if (count > 1) {
-      Broken("at most once", absl::StrCat(Describe(request), " runs ", count));
+      ReportBroken("at most once", absl::StrCat(Describe(request), " runs ", count));
     }
     const int status = request.head.status;
     const bool refused = status == 503 || status == 429 || status == 408 || status == 421;
     if (refused && count > 0) {
-      Broken("a refusal is true", Describe(request));
+      ReportBroken("a refusal is true", Describe(request));
     }
   }
 
-  // Every request is answered within its time limit.
+  // Checks that every request is answered within its time limit.
   void CheckEnd(const RequestRecord& request) {
     const absl::Time limit = request.sent + request.deadline + kAnswerSlack;
-    if (request.cancelled() ||
-        records_.Disturbed(Disturbance::Of::kGateway, request.gateway, request.sent, limit)) {
+    if (request.cancelled() || records_.Disturbed(Disturbance::Component::kGateway, request.gateway,
+                                                  request.sent, limit)) {
       return;
     }
     if (request.ended_at > limit) {
-      Broken("answered within its time", Describe(request));
+      ReportBroken("answered within its time", Describe(request));
     }
     const bool kept = request.result == ExchangeResult::kComplete ||
                       (request.IsStream() && request.head.status == 200);
     if (!kept && !MayBeUnread(request)) {
-      Broken("none is silently dropped", Describe(request));
+      ReportBroken("none is silently dropped", Describe(request));
     }
   }
 
@@ -163,41 +164,42 @@
       return;
     }
     const absl::Time limit = request.cancelled_at + kCallerGoneTime;
-    if (records_.Disturbed(Disturbance::Of::kGateway, request.gateway, request.sent, limit) ||
-        records_.Disturbed(Disturbance::Of::kWorker, 0, request.sent, limit)) {
+    if (records_.Disturbed(Disturbance::Component::kGateway, request.gateway, request.sent,
+                           limit) ||
+        records_.Disturbed(Disturbance::Component::kWorker, 0, request.sent, limit)) {
       return;
     }
     for (const auto& [worker, run] : runs_.RunsOf(request)) {
       if (!run->ended && run->caller_left_at > limit) {
-        Broken("a caller that left ends its run",
-               absl::StrCat(Describe(request), " at worker ", worker));
+        ReportBroken("a caller that left ends its run",
+                     absl::StrCat(Describe(request), " at worker ", worker));
       }
     }
   }
 
-  // A planned stop cuts off no request in progress. Slow callers may outlast it: CheckPlannedWork
-  // tells theirs apart.
+  // Checks that a planned stop cuts off no request in flight. Requests of slow callers may outlast
+  // the stop and are checked by CheckPlannedWork.
   void CheckStops() {
     for (const PlannedStop& stop : records_.stops) {
       for (const auto& request : records_.requests) {
-        if (request->gateway != stop.gateway || request->life != stop.life ||
-            request->cancelled() || request->sent > stop.at + kTakenAfterStop ||
+        if (request->gateway != stop.gateway || request->incarnation != stop.incarnation ||
+            request->cancelled() || request->sent > stop.at + kAcceptedAfterStop ||
             request->ended_at < stop.at || request->read_slowly || MayBeUnread(*request)) {
           continue;
         }
         const absl::Time end = std::min(request->ended_at, stop.at + absl::Seconds(10));
-        const bool worker_harmed =
-            records_.Disturbed(Disturbance::Of::kWorker, 0, request->sent, end);
-        const bool excused = request->IsStream() && worker_harmed;
-        const bool killed = records_.Harmed(stop.gateway, stop.at, request->ended_at);
+        const bool worker_disturbed =
+            records_.Disturbed(Disturbance::Component::kWorker, 0, request->sent, end);
+        const bool excused = request->IsStream() && worker_disturbed;
+        const bool killed = records_.HadUnplannedFault(stop.gateway, stop.at, request->ended_at);
         if (request->result != ExchangeResult::kComplete && !excused && !killed) {
-          Broken("a planned stop cuts off nothing", Describe(*request));
+          ReportBroken("a planned stop cuts off nothing", Describe(*request));
         }
       }
     }
   }
 
-  // An accepted change takes effect within seconds and never reverts.
+  // Checks that an accepted change takes effect within seconds and never reverts.
   void CheckConfiguration() {
     std::map<std::pair<std::size_t, int>, std::pair<int, absl::Time>> newest;
     for (const auto& request : records_.requests) {
@@ -208,14 +210,15 @@
       const int status = request->head.status;
       const bool found = status == 200 || status / 100 == 5;
       CheckInForce(*request, status);
-      auto& [version, seen_at] = newest[{request->gateway, request->life}];
+      auto& [version, seen_at] = newest[{request->gateway, request->incarnation}];
       if (status == 200 && request->probed_version > version) {
         version = request->probed_version;
         seen_at = request->ended_at;
       } else if (found && status == 200 && request->probed_version < version &&
                  request->sent > seen_at + kRollbackSlack) {
-        Broken("a change never reverts", absl::StrCat(Describe(*request), " version ",
-                                                      request->probed_version, " after ", version));
+        ReportBroken("a change never reverts",
+                     absl::StrCat(Describe(*request), " version ", request->probed_version,
+                                  " after ", version));
       }
     }
   }
@@ -230,14 +233,14 @@
             return other.version > change.version && other.at < request.ended_at;
           });
       if (!replaced && request.sent > change.at + kConfigurationInForce &&
-          InTouch(request.gateway, change.at, request.sent)) {
-        Broken("a change takes effect within seconds",
-               absl::StrCat(Describe(request), " version ", change.version));
+          WasUndisturbed(request.gateway, change.at, request.sent)) {
+        ReportBroken("a change takes effect within seconds",
+                     absl::StrCat(Describe(request), " version ", change.version));
       }
     }
   }
 
-  // A worker that is leaving receives no new work after a few seconds.
+  // Checks that a leaving worker receives no new work after a few seconds.
   void CheckLeaves() {
     for (const WorkerLeave& leave : records_.leaves) {
       for (const SoakWorkerView& view : workers_) {
@@ -247,38 +250,38 @@
         for (const PlatformWorker::Run& run : view.worker->runs()) {
           const auto request = by_id_.find(run.id);
           if (run.began > leave.at + kDrainTime && request != by_id_.end() &&
-              InTouch(request->second->gateway, leave.at, run.began)) {
-            Broken("a leaving worker gets no new work",
-                   absl::StrCat(Describe(*request->second), " at worker ", view.id));
+              WasUndisturbed(request->second->gateway, leave.at, run.began)) {
+            ReportBroken("a leaving worker gets no new work",
+                         absl::StrCat(Describe(*request->second), " at worker ", view.id));
           }
         }
       }
     }
   }
 
-  // No two holders share a token, and no worker is overfilled.
+  // Checks that no two holders share a fencing token and that no worker exceeds its memory.
   void CheckOrders() {
     std::map<std::uint64_t, std::string> holders;
     for (const SoakWorkerView& view : workers_) {
       if (view.worker->was_overfilled()) {
-        Broken("memory is never overcommitted", absl::StrCat("worker ", view.id));
+        ReportBroken("memory is never overcommitted", absl::StrCat("worker ", view.id));
       }
       std::uint64_t highest = 0;
       for (const PlatformWorker::Order& order : view.worker->orders()) {
         const auto [entry, fresh] = holders.emplace(order.token, order.holder);
         if (!fresh && entry->second != order.holder) {
-          Broken("one holder a token",
-                 absl::StrCat("token ", order.token, " of ", entry->second, " and ", order.holder));
+          ReportBroken("one holder a token", absl::StrCat("token ", order.token, " of ",
+                                                          entry->second, " and ", order.holder));
         }
         if (order.status / 100 == 2 && order.token < highest) {
-          Broken("tokens rise", absl::StrCat("worker ", view.id, " token ", order.token));
+          ReportBroken("tokens rise", absl::StrCat("worker ", view.id, " token ", order.token));
         }
         highest = std::max(highest, order.token);
       }
     }
   }
 
-  // Once all is in order again, all is served.
+  // Checks that requests are served again, and quickly, after recovery.
   void CheckRecovery() {
     std::map<std::size_t, std::pair<int, int>> served_of;
     for (const auto& request : records_.requests) {
@@ -288,19 +291,20 @@
       }
       auto& [served, all] = served_of[request->gateway];
       ++all;
-      if (request->ended_at - request->sent > kSlowInGoodTimes) {
-        Broken("nothing is slow in good times", Describe(*request));
+      if (request->ended_at - request->sent > kMaxLatencyAfterRecovery) {
+        ReportBroken("nothing is slow in good times", Describe(*request));
       }
       served += request->result == ExchangeResult::kComplete && request->head.status == 200;
     }
     for (const auto& [gateway, counts] : served_of) {
-      if (counts.first < kServedAfterFaults * counts.second) {
-        Broken("all is served again after the faults",
-               absl::StrCat("gateway ", gateway, " served ", counts.first, " of ", counts.second));
+      if (counts.first < kMinServedAfterFaults * counts.second) {
+        ReportBroken(
+            "all is served again after the faults",
+            absl::StrCat("gateway ", gateway, " served ", counts.first, " of ", counts.second));
       }
     }
     if (records_.recovery_began != absl::InfiniteFuture() && served_of.empty()) {
-      Broken("all is served again after the faults", "no request was sent");
+      ReportBroken("all is served again after the faults", "no request was sent");
     }
   }
 
--- a/tests/soak/promises.h
+++ b/tests/soak/promises.h
@@ -1,4 +1,4 @@
-// The promises that a run of the soak is held to, checked on what callers and workers saw.
+// Checks the promises that every soak run must keep against the records of callers and workers.
 #ifndef TESTS_SOAK_PROMISES_H_
 #define TESTS_SOAK_PROMISES_H_
 
@@ -12,19 +12,19 @@
 namespace hingespan::soak {
 
 struct BrokenPromise {
-  // Its name, e.g. "at most once".
+  // Name of the promise, e.g. "at most once".
   std::string promise;
   std::string what;
 };
 
-// The worker of the soak and what is known of it from outside.
+// A worker of the soak, with the properties that its own records don't hold.
 struct SoakWorkerView {
   std::string id;
   const emulator::PlatformWorker* worker = nullptr;
   std::string service;
 };
 
-// Pure: `records` and the workers' own notes are all it looks at.
+// Returns the broken promises. Depends only on `records` and on what the workers recorded.
 std::vector<BrokenPromise> CheckPromises(const SoakRecords& records,
                                          const std::vector<SoakWorkerView>& workers);
 
--- a/tests/soak/repeat_budget.cc
+++ b/tests/soak/repeat_budget.cc
@@ -13,9 +13,9 @@
 using Times = std::vector<absl::Time>;
 
 struct ServiceTimes {
-  // When callers sent requests for it.
+  // Times at which callers sent requests for the service.
   Times requests;
-  // Arrivals beyond the first of each request.
+  // Times of the arrivals at workers after the first of each request.
   Times repeats;
 };
 
@@ -53,8 +53,8 @@
   return services;
 }
 
-// The requests that count for a window: of it, of the one before it or of the one half a window
-// before it, whichever holds most.
+// Returns the number of requests that counts for a window: the most of the window itself, the
+// window before it and the one that begins half a window earlier.
 double RequestsFor(const Times& requests, absl::Time begin, absl::Duration window) {
   double most = 0;
   for (const absl::Duration earlier : {absl::ZeroDuration(), window / 2, window}) {
@@ -71,7 +71,7 @@
   for (const auto& [service, times] : TimesOf(records, workers)) {
     double worst = 0;
     std::string what;
-    // A window that holds most repeats begins or ends with one.
+    // The window with the most repeats begins or ends with a repeat.
     for (const absl::Time repeat : times.repeats) {
       for (const absl::Time begin : {repeat, repeat - limits.window}) {
         const double count = CountWithin(times.repeats, begin, begin + limits.window);
--- a/tests/soak/repeat_budget.h
+++ b/tests/soak/repeat_budget.h
@@ -1,4 +1,4 @@
-// The promise that all gateways together keep to the budget of repeats.
+// Check that all gateways together stay within the retry budget.
 #ifndef TESTS_SOAK_REPEAT_BUDGET_H_
 #define TESTS_SOAK_REPEAT_BUDGET_H_
 
@@ -8,6 +8,7 @@
 
 namespace hingespan::soak {
 
+// Appends one entry to `broken` for each service whose budget was exceeded.
 void CheckRepeatBudget(const SoakRecords& records, const std::vector<SoakWorkerView>& workers,
                        std::vector<BrokenPromise>* broken);
 
--- a/tests/soak/run_index.cc
+++ b/tests/soak/run_index.cc
@@ -5,7 +5,8 @@
 namespace hingespan::soak {
 namespace {
 
-// A request may cross the end of its connection; the driver may be late to see that end.
+// A request may be sent while the gateway closes its connection; the driver may notice the close
+// late.
 constexpr absl::Duration kCrossingTime = absl::Seconds(1);
 
 }  // namespace
@@ -33,17 +34,17 @@
       arrived_.contains(request.id)) {
     return true;
   }
-  // The kernel resets a connection that is closed with bytes unread: after an end in good order
-  // nothing was left. A reset without an answer says nothing, nor does an end that the request may
-  // have crossed: the gateway closes kept connections that are idle.
+  // The kernel resets a connection that is closed with unread bytes, so an orderly end means that
+  // all was read. A reset without an answer proves nothing, and neither does an end about the time
+  // of the request: the gateway closes idle persistent connections.
   return request.ended_in_order && request.ended_at - request.sent > kCrossingTime;
 }
 
 std::string RunIndex::Describe(const RequestRecord& request) const {
   std::string text = absl::StrCat(
-      "request ", request.id, " at gateway ", request.gateway, " life ", request.life, " sent ",
-      absl::FormatDuration(request.sent - records_.traffic_began),
-      request.on_kept_connection ? " on a kept connection" : "",
+      "request ", request.id, " at gateway ", request.gateway, " incarnation ", request.incarnation,
+      " sent ", absl::FormatDuration(request.sent - records_.traffic_began),
+      request.on_persistent_connection ? " on a kept connection" : "",
       request.read_slowly ? " read slowly" : "", " status ", request.head.status, " result ",
       static_cast<int>(request.result), " body ", request.body.size(), " bytes after ",
       request.ended() ? absl::FormatDuration(request.ended_at - request.sent) : "never");
--- a/tests/soak/run_index.h
+++ b/tests/soak/run_index.h
@@ -1,4 +1,4 @@
-// What workers noted about each request, beside what its caller saw.
+// Index of the workers' records by request, to compare with what the callers saw.
 #ifndef TESTS_SOAK_RUN_INDEX_H_
 #define TESTS_SOAK_RUN_INDEX_H_
 
@@ -12,17 +12,17 @@
 
 namespace hingespan::soak {
 
-// Refers to what it was made of.
+// Keeps references to the records and workers, which must outlive it.
 class RunIndex {
  public:
   using Run = emulator::PlatformWorker::Run;
-  // With the id of the worker.
+  // Runs of a request, each with the id of its worker.
   using RunList = std::vector<std::pair<std::string, const Run*>>;
 
   RunIndex(const SoakRecords& records, const std::vector<SoakWorkerView>& workers);
 
   const RunList& RunsOf(const RequestRecord& request) const;
-  // Whether the gateway is known to have read the request whole.
+  // Returns whether the gateway is known to have read the whole request.
   bool WasRead(const RequestRecord& request) const;
   std::string Describe(const RequestRecord& request) const;
 
--- a/tests/soak/series_plan.cc
+++ b/tests/soak/series_plan.cc
@@ -8,27 +8,28 @@
 namespace hingespan::soak {
 namespace {
 
-// Added to the seed: the draws are independent of those of the single faults.
-constexpr std::uint64_t kStream = 0x5e21e5;
-constexpr double kMostSecondsBetweenSeries = 3;
-constexpr int kMostRounds = 3;
-// After the beginning of a round: a gateway is then up again, or stopping still.
+// XORed into the seed, so that the draws are independent of those of the single faults.
+constexpr std::uint64_t kSeedMask = 0x5e21e5;
+constexpr double kMaxSecondsBetweenSeries = 3;
+constexpr int kMaxRounds = 3;
+// Least time between the beginnings of two rounds; a gateway has then restarted or is still
+// stopping.
 constexpr double kRoundSeconds = 3.8;
-constexpr double kLeastRollSeconds = 0.05;
-constexpr double kMostRollSeconds = 0.5;
-// A round of many gateways is not drawn out beyond this.
-constexpr double kMostRoundSeconds = 6;
+constexpr double kMinRollSeconds = 0.05;
+constexpr double kMaxRollSeconds = 0.5;
+// Longest time of a round, also with many gateways.
+constexpr double kMaxRoundSeconds = 6;
 
 class SeriesMaker {
  public:
   explicit SeriesMaker(const SeriesPlanOptions& options)
-      : options_(options), random_(options.seed ^ kStream) {}
+      : options_(options), random_(options.seed ^ kSeedMask) {}
 
   std::vector<PlannedFault> Make() {
     double at = 0.2;
     while (absl::Seconds(at) < options_.length) {
       MakeOne(at);
-      at += kMostSecondsBetweenSeries * Fraction();
+      at += kMaxSecondsBetweenSeries * Fraction();
     }
     std::stable_sort(plan_.begin(), plan_.end(),
                      [](const auto& left, const auto& right) { return left.at < right.at; });
@@ -62,10 +63,10 @@
     (this->*series)(at);
   }
 
-  // Each gateway once; returns how long that takes.
+  // Adds the fault once for each gateway and returns how long that takes.
   double Round(FaultKind kind, double at) {
-    const double gap = std::min(Between(kLeastRollSeconds, kMostRollSeconds),
-                                kMostRoundSeconds / options_.gateways);
+    const double gap =
+        std::min(Between(kMinRollSeconds, kMaxRollSeconds), kMaxRoundSeconds / options_.gateways);
     std::uint32_t gateway = Gateway();
     for (std::uint32_t count = 0; count < options_.gateways; ++count) {
       Add(kind, at + gap * count, gateway);
@@ -75,7 +76,7 @@
   }
 
   void Roll(double at) {
-    const int rounds = 1 + static_cast<int>(random_() % kMostRounds);
+    const int rounds = 1 + static_cast<int>(random_() % kMaxRounds);
     for (int round = 0; round < rounds; ++round) {
       at += std::max(kRoundSeconds, Round(FaultKind::kGatewayStopAgain, at));
     }
@@ -138,7 +139,7 @@
 
   void FailuresInKills(double at) {
     WorkersFail(at);
-    for (int round = 0; round < kMostRounds; ++round) {
+    for (int round = 0; round < kMaxRounds; ++round) {
       at += Between(0.5, 2);
       Round(FaultKind::kGatewayKill, at);
     }
@@ -155,8 +156,8 @@
   return SeriesMaker(options).Make();
 }
 
-std::vector<PlannedFault> Merged(std::vector<PlannedFault> left,
-                                 const std::vector<PlannedFault>& right) {
+std::vector<PlannedFault> MergePlans(std::vector<PlannedFault> left,
+                                     const std::vector<PlannedFault>& right) {
   left.insert(left.end(), right.begin(), right.end());
   std::stable_sort(left.begin(), left.end(),
                    [](const auto& one, const auto& other) { return one.at < other.at; });
--- a/tests/soak/soak_callers.cc
+++ b/tests/soak/soak_callers.cc
@@ -1,4 +1,4 @@
-// The callers of a run: single requests, probes, and callers that keep their connections.
+// Callers of a soak run: single requests, probes and callers with persistent connections.
 #include <utility>
 
 #include "absl/strings/str_cat.h"
@@ -8,14 +8,15 @@
 namespace {
 
 constexpr absl::Duration kCancelAfter = absl::Milliseconds(150);
-constexpr double kCancelledPart = 0.04;
-constexpr double kLargePart = 0.3;
-// Added to the seed: the draws of kept callers leave those of the others as they were.
-constexpr std::uint64_t kKeptStream = 0x6e9ca11;
-// Between requests of a quick caller, for each gateway: the load of a run does not grow with it.
+constexpr double kCancelledFraction = 0.04;
+constexpr double kLargeFraction = 0.3;
+// XORed into the seed, so that the draws of keep-alive callers don't change those of the others.
+constexpr std::uint64_t kKeepAliveSeedMask = 0x6e9ca11;
+// Pause of a quick caller, multiplied by the number of gateways so that the load of a run doesn't
+// grow with it.
 constexpr absl::Duration kPauseForEachGateway = absl::Milliseconds(8);
-// Its connection is mostly idle, also as its gateway stops.
-constexpr CallerPace kRarePace{absl::Milliseconds(700), 0, 16 * 1024, absl::ZeroDuration()};
+// Pace of a caller whose connection is mostly idle, also when its gateway stops.
+constexpr CallerPace kIdlePace{absl::Milliseconds(700), 0, 16 * 1024, absl::ZeroDuration()};
 constexpr CallerPace kSlowPace{absl::Milliseconds(20), 4096, 4096, absl::Milliseconds(12)};
 
 double FractionOf(std::mt19937_64* random) {
@@ -30,7 +31,7 @@
   record->id = absl::StrCat("s", options_.seed, "-", ++next_request_);
   record->kind = kind;
   record->gateway = index;
-  record->life = gateways_[index].process->lives();
+  record->incarnation = gateways_[index].process->incarnation();
   record->sent = loop_.Now();
   record->deadline = record->IsStream() ? absl::Seconds(8) : absl::Milliseconds(1500);
   records_.requests.push_back(std::move(record));
@@ -60,7 +61,7 @@
   RequestRecord* const record = AddRecord(index, kind);
   record->exchange = client_.Send(gateway.process->request_address(),
                                   RequestBytes(*record, target, &random_), record);
-  if (kind != RequestKind::kProbe && FractionOf(&random_) < kCancelledPart) {
+  if (kind != RequestKind::kProbe && FractionOf(&random_) < kCancelledFraction) {
     At(kCancelAfter, [this, record] {
       if (!record->ended()) {
         record->cancelled_at = loop_.Now();
@@ -99,8 +100,8 @@
   }
 }
 
-void SoakRun::AddKeptCallers() {
-  kept_random_.seed(options_.seed ^ kKeptStream);
+void SoakRun::AddKeepAliveCallers() {
+  keep_alive_random_.seed(options_.seed ^ kKeepAliveSeedMask);
   CallerPace quick;
   quick.pause = kPauseForEachGateway * static_cast<double>(gateways_.size());
   for (std::size_t index = 0; index < gateways_.size(); ++index) {
@@ -108,16 +109,17 @@
       const GatewayProcess& process = *gateways_[index].process;
       return process.serving() ? process.request_address() : std::string();
     };
-    for (const CallerPace& pace : {quick, quick, kRarePace, kSlowPace}) {
+    for (const CallerPace& pace : {quick, quick, kIdlePace, kSlowPace}) {
       const bool slow = pace.read_interval > absl::ZeroDuration();
-      kept_callers_.push_back(std::make_unique<KeptCaller>(
-          &loop_, pace, address,
-          [this, index, slow](std::string* bytes) { return NextKeptRequest(index, slow, bytes); }));
+      keep_alive_callers_.push_back(std::make_unique<KeepAliveCaller>(
+          &loop_, pace, address, [this, index, slow](std::string* bytes) {
+            return NextKeepAliveRequest(index, slow, bytes);
+          }));
     }
   }
 }
 
-RequestRecord* SoakRun::NextKeptRequest(std::size_t index, bool slow, std::string* bytes) {
+RequestRecord* SoakRun::NextKeepAliveRequest(std::size_t index, bool slow, std::string* bytes) {
   static constexpr std::pair<RequestKind, const char*> kKinds[] = {
       {RequestKind::kAct, "/act/x"},
       {RequestKind::kRead, "/read/x"},
@@ -126,20 +128,21 @@
   if (!sending_) {
     return nullptr;
   }
-  const bool large = slow || FractionOf(&kept_random_) < kLargePart;
+  const bool large = slow || FractionOf(&keep_alive_random_) < kLargeFraction;
   // Large answers are streams.
-  const std::size_t choice = large ? 2 + kept_random_() % 2 : kept_random_() % std::size(kKinds);
+  const std::size_t choice =
+      large ? 2 + keep_alive_random_() % 2 : keep_alive_random_() % std::size(kKinds);
   const RequestKind kind = kKinds[choice].first;
   std::string target = kKinds[choice].second;
   RequestRecord* const record = AddRecord(index, kind);
-  record->on_kept_connection = true;
+  record->on_persistent_connection = true;
   record->read_slowly = slow;
   if (large) {
     record->events = kLargeStreamEvents;
     record->padding = kLargeStreamPadding;
     target = kind == RequestKind::kStream ? kLargeOnceTarget : kLargeStreamTarget;
   }
-  *bytes = RequestBytes(*record, target, &kept_random_);
+  *bytes = RequestBytes(*record, target, &keep_alive_random_);
   return record;
 }
 
--- a/tests/soak/soak_faults.cc
+++ b/tests/soak/soak_faults.cc
@@ -1,4 +1,4 @@
-// What the plan of a run does to gateways, store and workers.
+// Injection of the planned faults into gateways, store and workers.
 #include <csignal>
 
 #include "absl/strings/str_cat.h"
@@ -10,9 +10,9 @@
 using emulator::StoreFault;
 using emulator::WorkerFault;
 
-// After its row said so, until it answers nobody.
+// Time for which a leaving worker still serves after its row has announced the leave.
 constexpr absl::Duration kServesAfterLeave = absl::Seconds(7);
-// A crashed worker's row stays for so long.
+// Time for which the row of a crashed worker stays in the store.
 constexpr absl::Duration kRowAfterCrash = absl::Seconds(2);
 constexpr absl::Duration kLinkDelay = absl::Milliseconds(120);
 
@@ -75,15 +75,15 @@
 
 }  // namespace
 
-void SoakRun::Begin(const PlannedFault& fault) {
+void SoakRun::InjectFault(const PlannedFault& fault) {
   if (fault.kind <= FaultKind::kGatewayReload) {
-    HarmGateway(fault);
+    InjectGatewayFault(fault);
   } else if (fault.kind <= FaultKind::kStoreForgetsHistory) {
-    HarmStore(fault);
+    InjectStoreFault(fault);
   } else if (fault.kind <= FaultKind::kWorkerSilent) {
-    HarmWorker(fault);
+    InjectWorkerFault(fault);
   } else {
-    TakeStep(fault);
+    RunSeriesStep(fault);
   }
 }
 
@@ -92,7 +92,7 @@
   if (!process.serving()) {
     return false;
   }
-  records_.signals.push_back({signal, index, process.lives(), loop_.Now()});
+  records_.signals.push_back({signal, index, process.incarnation(), loop_.Now()});
   process.Signal(signal);
   return true;
 }
@@ -102,37 +102,37 @@
   if (!gateway.process->serving() || gateway.stopping || gateway.paused) {
     return;
   }
-  const bool undisturbed = !records_.Disturbed(Disturbance::Of::kGateway, index,
+  const bool undisturbed = !records_.Disturbed(Disturbance::Component::kGateway, index,
                                                loop_.Now() - absl::Seconds(3), loop_.Now());
   if (undisturbed) {
-    records_.stops.push_back({index, gateway.process->lives(), loop_.Now()});
+    records_.stops.push_back({index, gateway.process->incarnation(), loop_.Now()});
   }
-  Note(Disturbance::Of::kGateway, index, absl::Seconds(kStopSeconds + 3));
+  RecordDisturbance(Disturbance::Component::kGateway, index, absl::Seconds(kStopSeconds + 3));
   records_.disturbances.back().planned = true;
   gateway.stopping = true;
   (void)SignalAsOperator(index, SIGTERM);
-  const int life = gateway.process->lives();
-  At(absl::Seconds(kStopSeconds + 1), [this, index, life] {
+  const int incarnation = gateway.process->incarnation();
+  At(absl::Seconds(kStopSeconds + 1), [this, index, incarnation] {
     Gateway& late = gateways_[index];
-    if (late.process->running() && late.process->lives() == life && late.stopping) {
-      records_.odd_ends.push_back(
-          absl::StrCat(late.process->name(), " life ", life, " does not end in time"));
+    if (late.process->running() && late.process->incarnation() == incarnation && late.stopping) {
+      records_.process_failures.push_back(absl::StrCat(late.process->name(), " incarnation ",
+                                                       incarnation, " does not end in time"));
       late.process->Signal(SIGKILL);
     }
   });
 }
 
-void SoakRun::HarmGateway(const PlannedFault& fault) {
+void SoakRun::InjectGatewayFault(const PlannedFault& fault) {
   const std::size_t index = fault.target % gateways_.size();
   Gateway& gateway = gateways_[index];
   switch (fault.kind) {
     case FaultKind::kGatewayKill:
-      Note(Disturbance::Of::kGateway, index, absl::Seconds(4));
+      RecordDisturbance(Disturbance::Component::kGateway, index, absl::Seconds(4));
       gateway.process->Signal(SIGKILL);
       return;
     case FaultKind::kGatewayKillAll:
       for (std::size_t each = 0; each < gateways_.size(); ++each) {
-        Note(Disturbance::Of::kGateway, each, absl::Seconds(4));
+        RecordDisturbance(Disturbance::Component::kGateway, each, absl::Seconds(4));
         gateways_[each].process->Signal(SIGKILL);
       }
       return;
@@ -141,12 +141,12 @@
         return;
       }
       gateway.paused = true;
-      Note(Disturbance::Of::kGateway, index, fault.duration + absl::Seconds(1));
+      RecordDisturbance(Disturbance::Component::kGateway, index, fault.duration + absl::Seconds(1));
       gateway.process->Signal(SIGSTOP);
-      const int life = gateway.process->lives();
-      At(fault.duration, [this, index, life] {
+      const int incarnation = gateway.process->incarnation();
+      At(fault.duration, [this, index, incarnation] {
         Gateway& paused = gateways_[index];
-        if (paused.process->lives() == life && paused.paused) {
+        if (paused.process->incarnation() == incarnation && paused.paused) {
           paused.paused = false;
           paused.process->Signal(SIGCONT);
         }
@@ -162,7 +162,7 @@
   }
 }
 
-void SoakRun::TakeStep(const PlannedFault& fault) {
+void SoakRun::RunSeriesStep(const PlannedFault& fault) {
   const std::size_t index = fault.target % gateways_.size();
   switch (fault.kind) {
     case FaultKind::kGatewayStopAgain:
@@ -184,14 +184,14 @@
       PutConfiguration();
       return;
     default:
-      HarmService(fault);
+      InjectServiceFault(fault);
       return;
   }
 }
 
-void SoakRun::HarmService(const PlannedFault& fault) {
+void SoakRun::InjectServiceFault(const PlannedFault& fault) {
   const std::string service = fault.target % 2 == 0 ? "plain" : "models";
-  Note(Disturbance::Of::kWorker, 0, fault.duration + absl::Seconds(2));
+  RecordDisturbance(Disturbance::Component::kWorker, 0, fault.duration + absl::Seconds(2));
   for (const auto& each : workers_) {
     Worker* const worker = each.get();
     if (!worker->present || worker->service != service) {
@@ -202,26 +202,26 @@
   }
 }
 
-void SoakRun::HarmStore(const PlannedFault& fault) {
+void SoakRun::InjectStoreFault(const PlannedFault& fault) {
   if (fault.kind == FaultKind::kStoreForgetsHistory) {
-    Note(Disturbance::Of::kStore, 0, absl::Seconds(1));
+    RecordDisturbance(Disturbance::Component::kStore, 0, absl::Seconds(1));
     store_.Compact();
     return;
   }
   const StoreFault store_fault = StoreFaultOf(fault.kind);
   if (store_fault != StoreFault::kNone) {
-    Note(Disturbance::Of::kStore, 0, fault.duration + absl::Seconds(2));
+    RecordDisturbance(Disturbance::Component::kStore, 0, fault.duration + absl::Seconds(2));
     store_.SetFault(store_fault);
     At(fault.duration, [this] { store_.SetFault(StoreFault::kNone); });
     return;
   }
   const std::size_t index = fault.target % gateways_.size();
-  Note(Disturbance::Of::kStoreLink, index, fault.duration);
+  RecordDisturbance(Disturbance::Component::kStoreLink, index, fault.duration);
   gateways_[index].store_link->SetFault(LinkFaultOf(fault.kind), kLinkDelay);
   At(fault.duration, [this, index] { gateways_[index].store_link->SetFault(LinkFault::kNone); });
 }
 
-void SoakRun::TakeWorkerAway(Worker* worker, bool announced, absl::Duration duration) {
+void SoakRun::RemoveWorker(Worker* worker, bool announced, absl::Duration duration) {
   worker->present = false;
   if (announced) {
     worker->worker->SetDraining();
@@ -233,11 +233,11 @@
     store_.Remove("servers", worker->id);
     worker->link->SetFault(LinkFault::kReset);
   });
-  // Another one comes in its place.
+  // A new worker replaces it.
   At(duration, [this, service = worker->service] { AddWorker(service, ""); });
 }
 
-void SoakRun::HarmWorker(const PlannedFault& fault) {
+void SoakRun::InjectWorkerFault(const PlannedFault& fault) {
   std::vector<Worker*> present;
   for (const auto& worker : workers_) {
     if (worker->present) {
@@ -248,10 +248,10 @@
     return;
   }
   Worker* const worker = present[fault.target % present.size()];
-  Note(Disturbance::Of::kWorker, 0, fault.duration + absl::Seconds(2));
+  RecordDisturbance(Disturbance::Component::kWorker, 0, fault.duration + absl::Seconds(2));
   const bool crash = fault.kind == FaultKind::kWorkerCrash;
   if (crash || fault.kind == FaultKind::kWorkerLeaves) {
-    TakeWorkerAway(worker, !crash, fault.duration);
+    RemoveWorker(worker, !crash, fault.duration);
     return;
   }
   const WorkerFault worker_fault = WorkerFaultOf(fault.kind);
--- a/tests/soak/soak_main.cc
+++ b/tests/soak/soak_main.cc
@@ -1,4 +1,4 @@
-// soak: plays runs with faults against gateways as processes of their own, and checks the promises.
+// soak: plays runs with injected faults against gateway processes and checks the promises.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <filesystem>
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr int kExitBroken = 1;
-constexpr int kMostGateways = 64;
+constexpr int kMaxGateways = 64;
 const std::map<std::string, Style> kStyles = {
     {"single", Style::kSingle}, {"mixed", Style::kMixed}, {"planned", Style::kPlanned}};
 
@@ -24,7 +24,7 @@
   std::size_t gateways = 4;
   std::string folder = "soak-logs";
   std::string program = HINGESPAN_PROGRAM_DIRECTORY "/hingespan-gateway";
-  // Empty: by the seed.
+  // Empty if the seed decides the style.
   std::string style;
   bool show_plan = false;
 };
@@ -38,16 +38,16 @@
   return text;
 }
 
-// Returns whether all promises were kept.
+// Plays one run and returns whether all promises were kept.
 bool PlaySeed(const Flags& flags, std::uint64_t seed) {
   SoakOptions options;
   options.seed = seed;
   options.length = absl::Seconds(flags.seconds);
   options.gateways = flags.gateways;
-  options.style = flags.style.empty() ? SoakRun::StyleOf(seed) : kStyles.at(flags.style);
+  options.style = flags.style.empty() ? SoakRun::DefaultStyle(seed) : kStyles.at(flags.style);
   options.program = flags.program;
   options.folder = absl::StrCat(flags.folder, "/seed-", seed);
-  // Of an earlier run: its addresses would be taken for those of this one.
+  // The addresses in the logs of an earlier run would be mistaken for those of this one.
   std::filesystem::remove_all(options.folder);
   std::filesystem::create_directories(options.folder);
   SoakRun run(options);
@@ -60,7 +60,7 @@
   if (flags.show_plan || !broken.empty()) {
     absl::StrAppend(&report, PlanText(run.plan()));
   }
-  // In one piece: other runs write to the same place.
+  // Written in one piece, as other runs write to the same output.
   std::cout << report << std::flush;
   if (broken.empty()) {
     std::filesystem::remove_all(options.folder);
@@ -73,7 +73,7 @@
   Flags flags;
   app.add_option("seeds", flags.seeds, "Seeds to play, one run each")->required();
   app.add_option("--seconds", flags.seconds, "How long faults come in each run");
-  app.add_option("--gateways", flags.gateways, "Gateways")->check(CLI::Range(1, kMostGateways));
+  app.add_option("--gateways", flags.gateways, "Gateways")->check(CLI::Range(1, kMaxGateways));
   app.add_option("--style", flags.style, "single, mixed or planned; by the seed if not given")
       ->check(CLI::IsMember(kStyles));
   app.add_option("--logs", flags.folder, "Folder for settings and logs; those of kept runs go");
--- a/tests/soak/soak_records.h
+++ b/tests/soak/soak_records.h
@@ -1,4 +1,4 @@
-// What a run of the soak saw: requests as callers had them, disturbances, changes of the operator.
+// Records of a soak run: requests as their callers saw them, disturbances and operator changes.
 #ifndef TESTS_SOAK_SOAK_RECORDS_H_
 #define TESTS_SOAK_SOAK_RECORDS_H_
 
@@ -13,19 +13,19 @@
 
 namespace hingespan::soak {
 
-// Of a stream that is not said to be larger.
+// Number of events of a stream unless its request asks for more.
 constexpr int kStreamEvents = 12;
 
 enum class RequestKind {
-  // Plain, may run once.
+  // Plain request that may run only once.
   kAct,
-  // Plain, repeatable.
+  // Plain request that may be repeated.
   kRead,
-  // A stream that may be resumed.
+  // Stream that may be resumed.
   kResumableStream,
-  // A stream that may run once.
+  // Stream that may run only once.
   kStream,
-  // Asks which version of the configuration is in force.
+  // Finds out which version of the configuration is in effect.
   kProbe,
 };
 
@@ -54,8 +54,8 @@
   std::string id;
   RequestKind kind = RequestKind::kAct;
   std::size_t gateway = 0;
-  // Of the gateway's process.
-  int life = 0;
+  // Incarnation of the gateway process.
+  int incarnation = 0;
   absl::Time sent;
   absl::Duration deadline;
   absl::Time cancelled_at = absl::InfiniteFuture();
@@ -64,48 +64,48 @@
   std::string body;
   gateway::ExchangeResult result = gateway::ExchangeResult::kNotSent;
   std::unique_ptr<gateway::ClientExchange> exchange;
-  // Of a probe: the version whose route it asks for.
+  // Version whose route a probe requests.
   int probed_version = 0;
   int events = kStreamEvents;
-  // Further bytes in each event of the stream.
+  // Padding bytes in each event of the stream.
   std::size_t padding = 0;
-  // Sent by a caller that keeps a connection for many requests.
-  bool on_kept_connection = false;
-  // Its caller takes the answer more slowly than it comes.
+  // True if the connection is used for many requests.
+  bool on_persistent_connection = false;
+  // True if the caller reads the answer more slowly than it arrives.
   bool read_slowly = false;
-  // Without an answer: the connection ended in good order, not by a reset.
+  // True if the connection ended without a complete answer by an orderly close, not by a reset.
   bool ended_in_order = false;
-  // Bytes came behind the whole answer.
+  // True if bytes followed the complete answer.
   bool surplus = false;
 };
 
-// A time in which something was out of order.
+// A period in which a component was disturbed.
 struct Disturbance {
-  enum class Of { kGateway, kStoreLink, kStore, kWorker };
-  Of of = Of::kGateway;
+  enum class Component { kGateway, kStoreLink, kStore, kWorker };
+  Component component = Component::kGateway;
   std::size_t target = 0;
   absl::Time begin;
   absl::Time end;
-  // An operator's doing: a stop with notice.
+  // True for a stop that the operator asked for.
   bool planned = false;
 };
 
-// A planned stop of a gateway's process.
+// A planned stop of a gateway process.
 struct PlannedStop {
   std::size_t gateway = 0;
-  int life = 0;
+  int incarnation = 0;
   absl::Time at;
 };
 
-// A signal of the operator, SIGTERM or SIGHUP.
+// A signal that the operator sent, SIGTERM or SIGHUP.
 struct OperatorSignal {
   int signal = 0;
   std::size_t gateway = 0;
-  int life = 0;
+  int incarnation = 0;
   absl::Time at;
 };
 
-// What all gateways together may send beyond the first send of each request.
+// Limits of the sends by all gateways together after the first send of each request.
 struct RepeatLimits {
   double ratio = 0.2;
   double extra = 10;
@@ -123,12 +123,15 @@
 };
 
 struct SoakRecords {
-  // Whether something of this kind was out of order between the two instants.
-  bool Disturbed(Disturbance::Of of, std::size_t target, absl::Time begin, absl::Time end) const {
+  // Returns whether a component of this kind was disturbed between the two instants. Disturbances
+  // of the store and of workers count whatever their target.
+  bool Disturbed(Disturbance::Component component, std::size_t target, absl::Time begin,
+                 absl::Time end) const {
     for (const Disturbance& disturbance : disturbances) {
-      const bool same_target = disturbance.target == target || of == Disturbance::Of::kStore ||
-                               of == Disturbance::Of::kWorker;
-      if (disturbance.of == of && same_target && disturbance.begin <= end &&
+      const bool same_target = disturbance.target == target ||
+                               component == Disturbance::Component::kStore ||
+                               component == Disturbance::Component::kWorker;
+      if (disturbance.component == component && same_target && disturbance.begin <= end &&
           disturbance.end >= begin) {
         return true;
       }
@@ -136,14 +139,14 @@
     return false;
   }
 
-  // Whether a gateway was harmed, e.g. killed, between the two instants, other than by a stop.
-  bool Harmed(std::size_t gateway, absl::Time begin, absl::Time end) const {
+  // Returns whether a gateway had an unplanned disturbance, e.g. a kill, between the two instants.
+  bool HadUnplannedFault(std::size_t gateway, absl::Time begin, absl::Time end) const {
     return std::any_of(disturbances.begin(), disturbances.end(), [&](const Disturbance& each) {
-      return each.of == Disturbance::Of::kGateway && each.target == gateway && !each.planned &&
-             each.begin <= end && each.end >= begin;
+      return each.component == Disturbance::Component::kGateway && each.target == gateway &&
+             !each.planned && each.begin <= end && each.end >= begin;
     });
   }
-  // Whether anything unplanned was out of order between the two instants.
+  // Returns whether there was any unplanned disturbance between the two instants.
   bool DisturbedUnplanned(absl::Time begin, absl::Time end) const {
     return std::any_of(disturbances.begin(), disturbances.end(), [&](const Disturbance& each) {
       return !each.planned && each.begin <= end && each.end >= begin;
@@ -156,11 +159,11 @@
   std::vector<OperatorSignal> signals;
   std::vector<ConfigurationChange> changes;
   std::vector<WorkerLeave> leaves;
-  // Processes that ended otherwise than they should have, and other remarks of the driver.
-  std::vector<std::string> odd_ends;
-  // Nothing but planned work is done for the whole run.
+  // Processes that ended unexpectedly, didn't stop in time or didn't start.
+  std::vector<std::string> process_failures;
+  // True if the run has only planned work.
   bool planned_only = false;
-  // From SIGTERM to SIGKILL.
+  // Time from SIGTERM to SIGKILL.
   absl::Duration grace = absl::Seconds(6);
   RepeatLimits repeats;
   absl::Time traffic_began;
--- a/tests/soak/soak_run.cc
+++ b/tests/soak/soak_run.cc
@@ -22,15 +22,15 @@
 constexpr absl::Duration kRequestInterval = absl::Milliseconds(25);
 constexpr absl::Duration kProbeInterval = absl::Milliseconds(400);
 constexpr absl::Duration kChangeInterval = absl::Seconds(4);
-constexpr absl::Duration kLookInterval = absl::Milliseconds(50);
+constexpr absl::Duration kProcessPollInterval = absl::Milliseconds(50);
 constexpr absl::Duration kDownTime = absl::Milliseconds(400);
 constexpr absl::Duration kHeartbeat = absl::Milliseconds(1200);
 constexpr double kModelMemoryMb = 100;
 constexpr double kWorkerMemoryMb = 250;
 
-constexpr double kExtraRepeatsOfGateway = 5;
-// Larger fleets have more callers, and with them more workers.
-constexpr std::size_t kGatewaysOfFurtherWorker = 4;
+constexpr double kExtraRepeatsPerGateway = 5;
+// Gateways for each further worker of a service: larger fleets have more callers.
+constexpr std::size_t kGatewaysPerExtraWorker = 4;
 constexpr emulator::StreamShape kLargeStream{kLargeStreamEvents, absl::Milliseconds(2),
                                              kLargeStreamPadding};
 
@@ -62,8 +62,8 @@
     series.length = options_.length;
     series.gateways = static_cast<std::uint32_t>(options_.gateways);
     series.unplanned = options_.style == Style::kMixed;
-    plan_ = Merged(std::move(plan_), MakeSeriesPlan(series));
-    records_.repeats.extra = kExtraRepeatsOfGateway * static_cast<double>(options_.gateways);
+    plan_ = MergePlans(std::move(plan_), MakeSeriesPlan(series));
+    records_.repeats.extra = kExtraRepeatsPerGateway * static_cast<double>(options_.gateways);
   }
   records_.planned_only = options_.style == Style::kPlanned;
   records_.grace = absl::Seconds(kStopSeconds);
@@ -71,14 +71,15 @@
 
 SoakRun::~SoakRun() = default;
 
-Style SoakRun::StyleOf(std::uint64_t seed) {
+Style SoakRun::DefaultStyle(std::uint64_t seed) {
   static constexpr Style kStyles[] = {Style::kPlanned, Style::kMixed, Style::kPlanned,
                                       Style::kMixed, Style::kSingle};
   return kStyles[seed % std::size(kStyles)];
 }
 
 bool SoakRun::WorkersCheckTokens() const {
-  // A quarter of the seeds; the seeds that were kept before this was played are none of them.
+  // False for a quarter of the seeds, chosen so that the older seeds of kept_seeds.txt are not
+  // among them.
   return options_.seed % 4 != 2;
 }
 
@@ -89,7 +90,7 @@
 
 void SoakRun::Every(absl::Duration interval, std::function<void()> task) {
   At(interval, [this, interval, task = std::move(task)] {
-    if (over_) {
+    if (finished_) {
       return;
     }
     task();
@@ -97,8 +98,9 @@
   });
 }
 
-void SoakRun::Note(Disturbance::Of of, std::size_t target, absl::Duration duration) {
-  records_.disturbances.push_back({of, target, loop_.Now(), loop_.Now() + duration});
+void SoakRun::RecordDisturbance(Disturbance::Component component, std::size_t target,
+                                absl::Duration duration) {
+  records_.disturbances.push_back({component, target, loop_.Now(), loop_.Now() + duration});
 }
 
 void SoakRun::AddWorker(const std::string& service, const std::string& model) {
@@ -167,14 +169,15 @@
       const bool killed = WIFSIGNALED(status) && WTERMSIG(status) == SIGKILL;
       const bool stopped = WIFEXITED(status) && WEXITSTATUS(status) == 0 && gateway.stopping;
       if (!killed && !stopped) {
-        records_.odd_ends.push_back(absl::StrCat(
-            gateway.process->name(), " life ", gateway.process->lives(), " wait status ", status));
+        records_.process_failures.push_back(absl::StrCat(gateway.process->name(), " incarnation ",
+                                                         gateway.process->incarnation(),
+                                                         " wait status ", status));
       }
       gateway.stopping = false;
       gateway.paused = false;
       gateway.down_until = loop_.Now() + kDownTime;
     }
-    if (!gateway.process->running() && !over_ && loop_.Now() >= gateway.down_until) {
+    if (!gateway.process->running() && !finished_ && loop_.Now() >= gateway.down_until) {
       gateway.process->Launch();
       gateway.listens_by = loop_.Now() + kStartLimit;
     }
@@ -188,7 +191,7 @@
   Gateway& gateway = gateways_[index];
   if (!gateway.process->Listens()) {
     if (loop_.Now() > gateway.listens_by) {
-      records_.odd_ends.push_back(absl::StrCat(gateway.process->name(), " does not start"));
+      records_.process_failures.push_back(absl::StrCat(gateway.process->name(), " does not start"));
       gateway.process->Signal(SIGKILL);
       gateway.listens_by = absl::InfiniteFuture();
     }
@@ -206,7 +209,7 @@
   for (int number = 1; number <= 3; ++number) {
     AddWorker("models", absl::StrCat("m", number));
   }
-  for (std::size_t number = 0; number < options_.gateways / kGatewaysOfFurtherWorker; ++number) {
+  for (std::size_t number = 0; number < options_.gateways / kGatewaysPerExtraWorker; ++number) {
     AddWorker("plain", "");
     AddWorker("models", absl::StrCat("m", 1 + number % kModels));
   }
@@ -235,20 +238,20 @@
     Every(kProbeInterval, [this] { SendProbes(); });
     Every(kChangeInterval, [this] { PutConfiguration(); });
     if (options_.style != Style::kSingle) {
-      AddKeptCallers();
+      AddKeepAliveCallers();
     }
     for (const PlannedFault& fault : plan_) {
-      At(fault.at, [this, fault] { Begin(fault); });
+      At(fault.at, [this, fault] { InjectFault(fault); });
     }
   });
-  Every(kLookInterval, [this] { KeepGatewaysRunning(); });
+  Every(kProcessPollInterval, [this] { KeepGatewaysRunning(); });
   At(kSettleTime + options_.length, [this] { records_.faults_over = loop_.Now(); });
   At(kSettleTime + options_.length + kRecoveryTime,
      [this] { records_.recovery_began = loop_.Now(); });
   const absl::Duration traffic = kSettleTime + options_.length + kRecoveryTime + kFinalTraffic;
   At(traffic, [this] { sending_ = false; });
   At(traffic + kDrainTime, [this] {
-    over_ = true;
+    finished_ = true;
     loop_.Stop();
   });
   loop_.Run();
--- a/tests/soak/soak_run.h
+++ b/tests/soak/soak_run.h
@@ -1,5 +1,5 @@
-// One run of the soak: gateways as processes of their own, a stand-in of the platform behind
-// loopback proxies, callers, an operator, and faults by plan.
+// One soak run: gateway processes, an emulated platform behind loopback proxies, callers, an
+// operator and planned faults.
 #ifndef TESTS_SOAK_SOAK_RUN_H_
 #define TESTS_SOAK_SOAK_RUN_H_
 
@@ -23,7 +23,7 @@
 
 namespace hingespan::soak {
 
-// From SIGTERM to SIGKILL.
+// Time from SIGTERM to SIGKILL.
 constexpr int kStopSeconds = 6;
 
 constexpr int kModels = 4;
@@ -34,11 +34,11 @@
 constexpr std::size_t kLargeStreamPadding = 1500;
 
 enum class Style {
-  // One fault after the other, drawn from all kinds.
+  // Single faults, drawn from all kinds.
   kSingle,
-  // Those, and series of signals, changes, kills and failures.
+  // Single faults, and series of signals, changes, kills and failures.
   kMixed,
-  // Series of the operator's work alone.
+  // Series of operator work only.
   kPlanned,
 };
 
@@ -50,21 +50,21 @@
   std::size_t gateways = 4;
   Style style = Style::kSingle;
   std::string program;
-  // For settings and logs.
+  // Folder for settings and logs.
   std::string folder;
 };
 
-// Not thread-safe; everything runs on one loop in this process, but for the gateways.
+// Not thread-safe; everything except the gateways runs on one event loop in this process.
 class SoakRun {
  public:
   explicit SoakRun(SoakOptions options);
   ~SoakRun();
 
-  // Of a seed that is played without one.
-  static Style StyleOf(std::uint64_t seed);
-  // Plays the run and checks what was seen. Empty: no promise was broken.
+  // Returns the style of a seed that is played without an explicit one.
+  static Style DefaultStyle(std::uint64_t seed);
+  // Plays the run and returns the broken promises.
   std::vector<BrokenPromise> Play();
-  // For the report: requests sent, by status and result.
+  // Returns the numbers of requests by status, for the report.
   std::string Summary() const;
   const std::vector<PlannedFault>& plan() const { return plan_; }
 
@@ -75,7 +75,7 @@
     bool paused = false;
     bool stopping = false;
     bool stop_when_started = false;
-    // Restarts are held back until then.
+    // Earliest time of the next restart.
     absl::Time down_until;
     absl::Time listens_by = absl::InfiniteFuture();
   };
@@ -84,7 +84,7 @@
     std::string service;
     std::unique_ptr<emulator::PlatformWorker> worker;
     std::unique_ptr<FaultProxy> link;
-    // It takes requests, or will again when its fault ends.
+    // True until the worker crashes or leaves for good.
     bool present = true;
   };
 
@@ -98,22 +98,24 @@
   RequestRecord* AddRecord(std::size_t gateway, RequestKind kind);
   std::string RequestBytes(const RequestRecord& record, const std::string& target,
                            std::mt19937_64* random);
-  void AddKeptCallers();
-  RequestRecord* NextKeptRequest(std::size_t gateway, bool slow, std::string* bytes);
+  void AddKeepAliveCallers();
+  RequestRecord* NextKeepAliveRequest(std::size_t gateway, bool slow, std::string* bytes);
   void KeepGatewaysRunning();
   void AwaitStart(std::size_t index);
-  void Begin(const PlannedFault& fault);
-  void HarmGateway(const PlannedFault& fault);
-  void HarmStore(const PlannedFault& fault);
-  void HarmWorker(const PlannedFault& fault);
-  void TakeStep(const PlannedFault& fault);
-  void HarmService(const PlannedFault& fault);
+  void InjectFault(const PlannedFault& fault);
+  void InjectGatewayFault(const PlannedFault& fault);
+  void InjectStoreFault(const PlannedFault& fault);
+  void InjectWorkerFault(const PlannedFault& fault);
+  void RunSeriesStep(const PlannedFault& fault);
+  void InjectServiceFault(const PlannedFault& fault);
   void StopGateway(std::size_t index);
-  // To one that serves; false when there is none.
+  // Signals the gateway if it serves; returns whether it does.
   bool SignalAsOperator(std::size_t index, int signal);
-  void TakeWorkerAway(Worker* worker, bool announced, absl::Duration duration);
-  void Note(Disturbance::Of of, std::size_t target, absl::Duration duration);
-  // Where they don't, a late order with an older token is carried out, and breaks a promise.
+  void RemoveWorker(Worker* worker, bool announced, absl::Duration duration);
+  void RecordDisturbance(Disturbance::Component component, std::size_t target,
+                         absl::Duration duration);
+  // Returns whether workers reject orders with an outdated fencing token. Where they don't, a late
+  // order with an older token is carried out, which breaks a promise.
   bool WorkersCheckTokens() const;
 
   SoakOptions options_;
@@ -126,12 +128,12 @@
   std::vector<PlannedFault> plan_;
   std::vector<std::unique_ptr<gateway::LoopTimer>> timers_;
   SoakRecords records_;
-  std::mt19937_64 kept_random_;
-  std::vector<std::unique_ptr<KeptCaller>> kept_callers_;
+  std::mt19937_64 keep_alive_random_;
+  std::vector<std::unique_ptr<KeepAliveCaller>> keep_alive_callers_;
   int next_request_ = 0;
   int next_worker_ = 0;
   int version_ = 0;
-  bool over_ = false;
+  bool finished_ = false;
   bool sending_ = true;
 };
 
--- a/tests/soak_checks/fixture.h
+++ b/tests/soak_checks/fixture.h
@@ -1,4 +1,4 @@
-// Records as a run of the soak would have them, and a worker that is really asked.
+// Hand-made records of a soak run, and an emulated worker that receives real requests.
 #ifndef TESTS_SOAK_CHECKS_FIXTURE_H_
 #define TESTS_SOAK_CHECKS_FIXTURE_H_
 
@@ -33,7 +33,7 @@
     record->loop = &loop;
     record->id = absl::StrCat("r", records.requests.size());
     record->kind = kind;
-    record->life = 1;
+    record->incarnation = 1;
     record->sent = At(1);
     record->deadline = absl::Seconds(1);
     record->ended_at = At(1.1);
@@ -46,7 +46,7 @@
     return records.requests.back().get();
   }
 
-  // Sends to the worker itself.
+  // Sends a request directly to the worker.
   void Run(const std::string& id, const std::string& target, const std::string& body) {
     RequestRecord call;
     call.loop = &loop;
--- a/tests/soak_checks/kept_caller_test.cc
+++ b/tests/soak_checks/kept_caller_test.cc
@@ -1,4 +1,4 @@
-// A caller that keeps its connection has to notice how each request on it ended.
+// Tests that a keep-alive caller notices how each request on its connection ended.
 #include "tests/soak/kept_caller.h"
 
 #include <doctest/doctest.h>
@@ -22,8 +22,8 @@
 struct Fixture {
   Fixture() { REQUIRE_FALSE(server.Listen("127.0.0.1:0")); }
 
-  std::unique_ptr<KeptCaller> MakeCaller(const CallerPace& pace) {
-    return std::make_unique<KeptCaller>(
+  std::unique_ptr<KeepAliveCaller> MakeCaller(const CallerPace& pace) {
+    return std::make_unique<KeepAliveCaller>(
         &loop, pace, [this] { return server.address(); },
         [this](std::string* bytes) -> RequestRecord* {
           if (records.size() == wanted) {
@@ -87,7 +87,7 @@
     if (fixture.records.size() < fixture.wanted) {
       exchange->StartChunked(200, "OK", {});
       exchange->WriteChunk("begin");
-      // Written first, aborted after: the caller sees both.
+      // Aborts only after the chunk was sent, so that the caller sees both.
       exchange->OnDrained([exchange] { exchange->Abort(); });
       return;
     }
--- a/tests/soak_checks/planned_work_test.cc
+++ b/tests/soak_checks/planned_work_test.cc
@@ -1,4 +1,4 @@
-// The check of planned work has to see a request that was lost, and nothing else.
+// Tests that the check of planned work reports lost requests and nothing else.
 #include <doctest/doctest.h>
 
 #include <csignal>
@@ -10,19 +10,19 @@
 
 constexpr const char* kLost = "planned work loses no request";
 
-// A stream whose connection ends in the middle of its answer, at At(1.1).
+// Adds a stream whose connection ends in the middle of its answer, at At(1.1).
 RequestRecord* AddCutStream(Fixture* fixture) {
   RequestRecord* const cut = fixture->Add(RequestKind::kStream, 200, "id: 1\ndata: ev");
   cut->result = gateway::ExchangeResult::kBroken;
-  cut->on_kept_connection = true;
+  cut->on_persistent_connection = true;
   return cut;
 }
 
-// A plain request on a kept connection that ends without an answer.
+// Adds a plain request on a persistent connection that ends without an answer.
 RequestRecord* AddUnanswered(Fixture* fixture, bool in_order, double ended_at) {
   RequestRecord* const request = fixture->Add(RequestKind::kRead, 0, "");
   request->result = gateway::ExchangeResult::kBroken;
-  request->on_kept_connection = true;
+  request->on_persistent_connection = true;
   request->ended_in_order = in_order;
   request->deadline = absl::Seconds(9);
   request->ended_at = At(ended_at);
@@ -88,11 +88,11 @@
   fixture.records.signals = {{SIGHUP, 0, 1, At(0)}};
   CHECK(fixture.Broken() == Names{kLost});
   SUBCASE("another gateway") { fixture.records.signals[0].gateway = 1; }
-  SUBCASE("another process of this gateway") { fixture.records.signals[0].life = 2; }
+  SUBCASE("another process of this gateway") { fixture.records.signals[0].incarnation = 2; }
   SUBCASE("too long ago") { fixture.records.signals[0].at = At(-9); }
   SUBCASE("later") { fixture.records.signals[0].at = At(2); }
   SUBCASE("an unplanned fault") {
-    fixture.records.disturbances.push_back({Disturbance::Of::kStore, 0, At(-2), At(-1)});
+    fixture.records.disturbances.push_back({Disturbance::Component::kStore, 0, At(-2), At(-1)});
   }
   CHECK(fixture.Broken().empty());
 }
@@ -101,7 +101,7 @@
   Fixture fixture;
   AddCutStream(&fixture);
   fixture.records.signals = {{SIGTERM, 0, 1, At(0)}};
-  fixture.records.disturbances.push_back({Disturbance::Of::kGateway, 0, At(0), At(9), true});
+  fixture.records.disturbances.push_back({Disturbance::Component::kGateway, 0, At(0), At(9), true});
   CHECK(fixture.Broken() == Names{kLost});
 }
 
--- a/tests/soak_checks/promises_test.cc
+++ b/tests/soak_checks/promises_test.cc
@@ -1,4 +1,4 @@
-// The soak's own checks: each has to see the violation it is there for.
+// Tests that each check of the soak reports the violation that it is meant for.
 #include "tests/soak/promises.h"
 
 #include <doctest/doctest.h>
@@ -65,7 +65,7 @@
   RequestRecord* const lost = fixture.Add(RequestKind::kAct, 0, "");
   lost->result = gateway::ExchangeResult::kBroken;
   CHECK(fixture.Broken() == Names{"none is silently dropped"});
-  fixture.records.disturbances.push_back({Disturbance::Of::kGateway, 0, At(1), At(2)});
+  fixture.records.disturbances.push_back({Disturbance::Component::kGateway, 0, At(1), At(2)});
   CHECK(fixture.Broken().empty());
 }
 
@@ -80,11 +80,11 @@
   RequestRecord* const cut = fixture.Add(RequestKind::kAct, 0, "");
   cut->result = gateway::ExchangeResult::kBroken;
   fixture.records.stops.push_back({0, 1, At(1.05)});
-  fixture.records.disturbances.push_back({Disturbance::Of::kGateway, 0, At(1.05), At(9)});
+  fixture.records.disturbances.push_back({Disturbance::Component::kGateway, 0, At(1.05), At(9)});
   fixture.records.disturbances.back().planned = true;
   CHECK(fixture.Broken() == Names{"a planned stop cuts off nothing"});
-  fixture.records.disturbances.push_back({Disturbance::Of::kGateway, 1, At(1.08), At(5)});
-  fixture.records.disturbances.push_back({Disturbance::Of::kGateway, 0, At(1.2), At(5)});
+  fixture.records.disturbances.push_back({Disturbance::Component::kGateway, 1, At(1.08), At(5)});
+  fixture.records.disturbances.push_back({Disturbance::Component::kGateway, 0, At(1.2), At(5)});
   CHECK(fixture.Broken() == Names{"a planned stop cuts off nothing"});
 }
 
@@ -93,8 +93,9 @@
   RequestRecord* const cut = fixture.Add(RequestKind::kAct, 0, "");
   cut->result = gateway::ExchangeResult::kBroken;
   fixture.records.stops.push_back({0, 1, At(1.05)});
-  fixture.records.disturbances.push_back({Disturbance::Of::kGateway, 0, At(1.05), At(9), true});
-  fixture.records.disturbances.push_back({Disturbance::Of::kGateway, 0, At(1.08), At(5)});
+  fixture.records.disturbances.push_back(
+      {Disturbance::Component::kGateway, 0, At(1.05), At(9), true});
+  fixture.records.disturbances.push_back({Disturbance::Component::kGateway, 0, At(1.08), At(5)});
   CHECK(fixture.Broken().empty());
 }
 
@@ -110,7 +111,7 @@
   old->probed_version = 2;
   old->head.status = 404;
   CHECK(fixture.Broken() == Names{"a change takes effect within seconds"});
-  fixture.records.disturbances.push_back({Disturbance::Of::kStore, 0, At(0), At(1)});
+  fixture.records.disturbances.push_back({Disturbance::Component::kStore, 0, At(0), At(1)});
   CHECK(fixture.Broken().empty());
 }
 
@@ -131,7 +132,7 @@
   };
   order("n1", "m1");
   CHECK(fixture.Broken().empty());
-  // The load has to end before the next is taken.
+  // The worker accepts the next load only after this one has ended.
   REQUIRE(fixture.loop.RunUntil([&] { return fixture.worker->Holds("m1"); }, absl::Seconds(10)));
   order("n1", "m2");
   CHECK(fixture.Broken() == Names{"memory is never overcommitted"});
@@ -157,7 +158,7 @@
 
 TEST_CASE("an end that nobody asked for is seen") {
   Fixture fixture;
-  fixture.records.odd_ends.push_back("gateway-0 life 1");
+  fixture.records.process_failures.push_back("gateway-0 incarnation 1");
   CHECK(fixture.Broken() == Names{"processes end only when they are told to"});
 }
 
--- a/tests/soak_checks/repeat_budget_test.cc
+++ b/tests/soak_checks/repeat_budget_test.cc
@@ -1,4 +1,4 @@
-// The check of the budget of repeats has to see one repeat too many, and no fewer.
+// Tests that the check of the retry budget reports one repeat too many, and no fewer.
 #include "tests/soak/repeat_budget.h"
 
 #include <doctest/doctest.h>
@@ -10,7 +10,7 @@
 
 constexpr const char* kBudget = "the budget of repeats";
 
-// A request that is repeated twice.
+// Adds a request that is repeated twice.
 void AddRepeated(Fixture* fixture) {
   RequestRecord* const request = fixture->Add(RequestKind::kRead, 502, "");
   request->sent = fixture->loop.Now();
@@ -44,7 +44,7 @@
   CHECK(fixture.Broken() == Names{kBudget});
   const absl::Time now = fixture.loop.Now();
   for (int count = 0; count < 2; ++count) {
-    // Those of the window before count where they are more.
+    // Requests of the previous window count if there are more of them.
     fixture.Add(RequestKind::kRead, 503, "")->sent = now - absl::Seconds(80);
   }
   CHECK(fixture.Broken() == Names{kBudget});
--- a/tests/soak_checks/series_plan_test.cc
+++ b/tests/soak_checks/series_plan_test.cc
@@ -1,4 +1,4 @@
-// Plans of series follow from their seed, overlap, and keep to planned work where they have to.
+// Tests that series plans depend on their seed alone and contain only planned work where they must.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -64,7 +64,7 @@
   options.seed = 3;
   const std::vector<PlannedFault> single = MakeFaultPlan(options);
   const std::vector<PlannedFault> series = MakeSeriesPlan({3, options.length, 4, true});
-  const std::vector<PlannedFault> both = Merged(single, series);
+  const std::vector<PlannedFault> both = MergePlans(single, series);
   CHECK(both.size() == single.size() + series.size());
   CHECK(std::is_sorted(both.begin(), both.end(),
                        [](const auto& left, const auto& right) { return left.at < right.at; }));
