--- a/tests/failure/claims_test.cc
+++ b/tests/failure/claims_test.cc
@@ -1,4 +1,5 @@
-// Not-repeatable requests: at most one run per key, whichever routers the retries reach.
+// Tests that a request that must not be repeated runs at most once per key, whichever routers its
+// retries reach.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -23,7 +24,7 @@
   return answered;
 }
 
-// How the calls ended, e.g. "answered: 1, refused key_claimed: 5"; for messages.
+// Returns how the calls ended, e.g. "answered: 1, key_claimed: 5", for failure messages.
 std::string Outcomes(const std::vector<FinishedCall>& calls) {
   std::map<std::string, int> counts;
   for (const FinishedCall& call : calls) {
@@ -36,8 +37,8 @@
   return text;
 }
 
-// Sends each of `keys` requests to every node at once.
-std::vector<FinishedCall> SameKeysEverywhere(TestCluster& cluster, const std::string& model,
+// Sends each of `keys` requests to every node in parallel.
+std::vector<FinishedCall> SendKeysToAllNodes(TestCluster& cluster, const std::string& model,
                                              int keys) {
   CallGroup calls;
   for (int key = 0; key < keys; ++key) {
@@ -49,7 +50,7 @@
   return calls.Finish();
 }
 
-std::uint64_t MostRunsOfAKey(const TestCluster& cluster) {
+std::uint64_t MaxRunsPerKey(const TestCluster& cluster) {
   const Result<load::Totals> totals = cluster.admin().ReadTotals();
   REQUIRE(totals.ok());
   std::uint64_t most = 0;
@@ -66,9 +67,9 @@
 }
 
 // Waits until each range of keys has an owner. A key that was made before its range's first owner
-// is refused for ever (key_out_of_time), truthfully; that is no matter of the tests that count
+// is refused for ever with key_out_of_time, which is correct but would disturb the tests that count
 // answers.
-void AwaitOwners(TestCluster& cluster, const std::string& model) {
+void WaitForOwners(TestCluster& cluster, const std::string& model) {
   constexpr std::size_t kKeysAtOnce = 16;
   const std::uint32_t ranges = ClaimOptions{}.range_count;
   std::set<std::uint64_t> owned;
@@ -95,8 +96,8 @@
 TEST_CASE("the same key at all routers at once runs once") {
   TestCluster cluster;
   Warm(cluster, "dealer");
-  AwaitOwners(cluster, "dealer");
-  const std::vector<FinishedCall> finished = SameKeysEverywhere(cluster, "dealer", 10);
+  WaitForOwners(cluster, "dealer");
+  const std::vector<FinishedCall> finished = SendKeysToAllNodes(cluster, "dealer", 10);
   CheckCallsEnded(finished);
   CheckRuns(cluster, finished);
   INFO(Outcomes(finished));
@@ -108,8 +109,8 @@
   options.node_overrides = {{"test_only.disable_claims", "true"}};
   TestCluster cluster(options);
   Warm(cluster, "dealer");
-  SameKeysEverywhere(cluster, "dealer", 10);
-  CHECK(MostRunsOfAKey(cluster) > 1);
+  SendKeysToAllNodes(cluster, "dealer", 10);
+  CHECK(MaxRunsPerKey(cluster) > 1);
 }
 
 TEST_CASE("owners killed while the same keys are at all routers: no key runs twice") {
@@ -127,7 +128,7 @@
   }
   REQUIRE(cluster.processes().Kill(NodeId("z1-n2")).ok());
   REQUIRE(cluster.processes().RestartNode(NodeId("z1-n2")).ok());
-  // The callers try again, everywhere, also at the restarted node.
+  // The callers retry at every node, including the restarted one.
   for (const load::CallerRequest& request : requests) {
     for (const std::string& address : cluster.Addresses()) {
       calls.Add(address, request);
@@ -135,11 +136,11 @@
   }
   const std::vector<FinishedCall> finished = calls.Finish();
   CheckRuns(cluster, finished);
-  CHECK(MostRunsOfAKey(cluster) <= 1);
+  CHECK(MaxRunsPerKey(cluster) <= 1);
   CHECK(CountAnswered(finished) >= 1);
 }
 
-TEST_CASE("an owner paused and woken: no key runs twice") {
+TEST_CASE("an owner paused and resumed: no key runs twice") {
   TestCluster cluster;
   Warm(cluster, "dealer");
   REQUIRE(cluster.processes().Pause(NodeId("z2-n1")).ok());
@@ -163,7 +164,7 @@
   std::vector<FinishedCall> finished = retries.Finish();
   finished.insert(finished.end(), first.begin(), first.end());
   CheckRuns(cluster, finished);
-  CHECK(MostRunsOfAKey(cluster) <= 1);
+  CHECK(MaxRunsPerKey(cluster) <= 1);
 }
 
 TEST_CASE("a key that carries no time is claimed in the platform and runs once") {
@@ -201,7 +202,7 @@
   const std::vector<FinishedCall> finished = calls.Finish();
   CheckCallsEnded(finished);
   CheckRuns(cluster, finished);
-  CHECK(MostRunsOfAKey(cluster) <= 1);
+  CHECK(MaxRunsPerKey(cluster) <= 1);
 }
 
 }  // namespace
--- a/tests/failure/cold_start_test.cc
+++ b/tests/failure/cold_start_test.cc
@@ -1,5 +1,5 @@
-// Cold starts under failure: one load for many routers, a node killed during a load, a slow weight
-// store, the platform down.
+// Tests cold starts under failure: one load for many routers, a node killed during a load, a slow
+// weight store, an unavailable platform.
 #include <doctest/doctest.h>
 
 #include "absl/strings/str_cat.h"
@@ -63,8 +63,8 @@
   CheckCallsEnded(finished);
   CheckRuns(cluster, finished);
   CheckLimits(cluster, {{"interrupted", 1}});
-  // A request that a router of another zone forwarded to the killed node may end in an error that
-  // says so; those at live nodes of the zone must be served.
+  // A request that a router of another zone forwarded to the killed node may end in an explicit
+  // error; requests at live nodes of the zone must be served.
   int answered = 0;
   for (const FinishedCall& call : finished) {
     answered += call.result.outcome == CallerOutcome::kAnswered ? 1 : 0;
@@ -83,7 +83,7 @@
     cluster.WaitForGrant(ModelName(absl::StrCat("granted-", model)),
                          [](const GrantRecord& grant) { return grant.slots.size() == 1; });
   }
-  // Every node must hold the grants before the outage, or it could not use them.
+  // A node can only use grants that it holds before the outage.
   for (const load::RunningNode& node : cluster.processes().Nodes()) {
     for (int model = 0; model < 4; ++model) {
       const ModelName name(absl::StrCat("granted-", model));
--- a/tests/failure/faults.cc
+++ b/tests/failure/faults.cc
@@ -25,12 +25,13 @@
   }
 }
 
-void EndDoubledOrders(TestCluster& cluster, const std::string& worker) {
+void EndOrderDuplication(TestCluster& cluster, const std::string& worker) {
   REQUIRE(!cluster.admin().PostFault(
       absl::StrCat(R"({"fault":"order_duplicates","enabled":false,"worker":")", worker, "\"}")));
 }
 
-// Two operators edit the row from the same revision; a platform that fails may let neither win.
+// Lets two operators edit the row from the same revision. At most one may succeed; if the platform
+// fails, possibly neither.
 void RaceOperators(TestCluster& cluster) {
   const std::string key = RowKey(ModelName(kPairModel));
   const Result<StoredValue> seen = cluster.table().Read(key, kRaceTimeout);
@@ -81,8 +82,8 @@
           [](TestCluster& cluster) { REQUIRE(!cluster.admin().SlowWeightStore(1)); }};
 }
 
-Fault OrdersDoubledLate() {
-  return {FaultKind::kOrdersDoubledLate, "orders doubled late", "",
+Fault OrdersDuplicatedLate() {
+  return {FaultKind::kOrdersDuplicatedLate, "orders doubled late", "",
           [](TestCluster& cluster) {
             for (const char* worker : {"w1a", "w1b", "w2a", "w2b", "w3a", "w3b"}) {
               REQUIRE(!cluster.admin().DuplicateOrders(WorkerId(worker), kLateOrder));
@@ -90,7 +91,7 @@
           },
           [](TestCluster& cluster) {
             for (const char* worker : {"w1a", "w1b", "w2a", "w2b", "w3a", "w3b"}) {
-              EndDoubledOrders(cluster, worker);
+              EndOrderDuplication(cluster, worker);
             }
           }};
 }
@@ -116,7 +117,7 @@
       REQUIRE(!cluster.admin().BreakStreams(WorkerId(worker)));
     }
   };
-  // At the end too: then the requests that were sent between are running.
+  // Streams break again at the end, when the requests that were sent in between are running.
   return {FaultKind::kStreamsBroken, "streams broken", "", break_all, break_all};
 }
 
@@ -155,9 +156,12 @@
 
 const std::vector<Fault>& AllFaults() {
   static const auto* const kFaults = new std::vector<Fault>{
-      NodeKilled(),      ZoneCut(),           PlatformDown(),     MachineLeaving(),
-      WeightStoreSlow(), OrdersDoubledLate(), EngineRestarted(),  PlatformLosesAnswers(),
-      StreamsBroken(),   NodePaused(),        MachineReclaimed(), NodeStopped(),
+      NodeKilled(),       ZoneCut(),
+      PlatformDown(),     MachineLeaving(),
+      WeightStoreSlow(),  OrdersDuplicatedLate(),
+      EngineRestarted(),  PlatformLosesAnswers(),
+      StreamsBroken(),    NodePaused(),
+      MachineReclaimed(), NodeStopped(),
       OperatorsRace(),
   };
   return *kFaults;
--- a/tests/failure/faults.h
+++ b/tests/failure/faults.h
@@ -1,4 +1,4 @@
-// The faults of the pair tests, each with how it begins and how it is healed.
+// Faults of the pair tests, each with functions that inject and heal it.
 #ifndef HINGESPAN_TESTS_FAILURE_FAULTS_H_
 #define HINGESPAN_TESTS_FAILURE_FAULTS_H_
 
@@ -16,7 +16,7 @@
   kPlatformDown,
   kMachineLeaving,
   kWeightStoreSlow,
-  kOrdersDoubledLate,
+  kOrdersDuplicatedLate,
   kEngineRestarted,
   kPlatformLosesAnswers,
   kStreamsBroken,
@@ -29,10 +29,10 @@
 struct Fault {
   FaultKind kind;
   const char* name;
-  // The node whose callers may lose their connection; empty: none.
-  const char* hurt_node;
+  // Node whose callers may lose their connection; empty if there is none.
+  const char* affected_node;
   std::function<void(TestCluster&)> inject;
-  // Empty: what happened can't be undone, or is over at once.
+  // Empty if the fault can't be undone or is over at once.
   std::function<void(TestCluster&)> heal;
 };
 
@@ -41,14 +41,14 @@
   FaultKind second;
 };
 
-// In the order of FaultKind. For a cluster of three zones with the rows below.
+// Returns all faults in the order of FaultKind, for a cluster of three zones with the rows below.
 const std::vector<Fault>& AllFaults();
 const Fault& FaultOf(FaultKind kind);
 
 inline constexpr char kPairModel[] = "twice";
-// Granted, but not loaded before the faults begin.
+// Model that is granted but not loaded before the faults begin.
 inline constexpr char kPairColdModel[] = "woken";
-// Replicas that the row of kPairModel allows at any time; that of kPairColdModel allows one.
+// Most replicas that the row of kPairModel allows; the row of kPairColdModel allows one.
 inline constexpr std::uint32_t kPairReplicas = 3;
 
 }  // namespace hingespan::failure
--- a/tests/failure/fence_test.cc
+++ b/tests/failure/fence_test.cc
@@ -1,5 +1,5 @@
-// A keeper frozen past a takeover, then woken with orders still to send: the engine's fence refuses
-// them; without the fence they overcommit its memory.
+// Tests a keeper that is paused until another node has taken over, and then resumes with orders
+// still to send. The engine's fence refuses them; without the fence they overcommit its memory.
 #include <doctest/doctest.h>
 
 #include <optional>
@@ -11,25 +11,26 @@
 namespace {
 
 constexpr int kModels = 10;
-// Replicas that a worker has room for.
-constexpr std::size_t kRoom = 2;
-// A woken keeper may hear of its successor before it sends its order: then the scene is made anew.
-constexpr int kMaximumScenes = 5;
+// Replicas that fit into the memory of a worker.
+constexpr std::size_t kReplicasPerWorker = 2;
+// A resumed keeper may learn of its successor before it sends its order; the scenario is then tried
+// again.
+constexpr int kMaxAttempts = 5;
 constexpr absl::Duration kOrderBound = absl::Seconds(10);
 
 std::string FenceModel(int model) { return absl::StrCat("fenced-", model); }
 
 std::string OtherNode(const std::string& node) { return node == "z1-n1" ? "z1-n2" : "z1-n1"; }
 
-// A worker, its keeper and the node that takes over, and models granted there.
-struct Scene {
+// A worker, its keeper, the node that takes over, and models granted to the worker.
+struct FenceScenario {
   std::string worker;
   std::string keeper;
   std::string successor;
-  // Placed by the successor, so that their load requests reach the frozen keeper.
-  std::vector<std::string> asked_while_frozen;
-  // Fill the worker after the takeover.
-  std::vector<std::string> filling;
+  // Models that the successor places, so that their load requests reach the paused keeper.
+  std::vector<std::string> requested_while_paused;
+  // Models that fill the worker after the takeover.
+  std::vector<std::string> filling_models;
 };
 
 bool IsPlacedBy(const TestCluster& cluster, const std::string& model, const std::string& node) {
@@ -37,99 +38,101 @@
          std::string::npos;
 }
 
-// Empty when too few models are granted to the worker or placed by the successor.
-std::optional<Scene> SceneAt(TestCluster& cluster, const std::string& worker) {
-  Scene scene;
-  scene.worker = worker;
-  scene.keeper = cluster.KeeperOf(worker);
-  scene.successor = OtherNode(scene.keeper);
+// Returns nothing if too few models are granted to the worker or placed by the successor.
+std::optional<FenceScenario> FindScenario(TestCluster& cluster, const std::string& worker) {
+  FenceScenario scenario;
+  scenario.worker = worker;
+  scenario.keeper = cluster.KeeperOf(worker);
+  scenario.successor = OtherNode(scenario.keeper);
   for (int model = 0; model < kModels; ++model) {
     const std::string name = FenceModel(model);
     if (cluster.ReadGrant(ModelName(name)).slots.front().worker.value() != worker) {
       continue;
     }
-    if (scene.asked_while_frozen.empty() && IsPlacedBy(cluster, name, scene.successor)) {
-      scene.asked_while_frozen.push_back(name);
-    } else if (scene.filling.size() < kRoom) {
-      scene.filling.push_back(name);
+    if (scenario.requested_while_paused.empty() && IsPlacedBy(cluster, name, scenario.successor)) {
+      scenario.requested_while_paused.push_back(name);
+    } else if (scenario.filling_models.size() < kReplicasPerWorker) {
+      scenario.filling_models.push_back(name);
     }
   }
-  const bool whole = !scene.asked_while_frozen.empty() && scene.filling.size() == kRoom;
-  return whole ? std::optional<Scene>(scene) : std::nullopt;
+  const bool whole = !scenario.requested_while_paused.empty() &&
+                     scenario.filling_models.size() == kReplicasPerWorker;
+  return whole ? std::optional<FenceScenario>(scenario) : std::nullopt;
 }
 
-Scene MakeScene(TestCluster& cluster) {
+FenceScenario MakeScenario(TestCluster& cluster) {
   for (int model = 0; model < kModels; ++model) {
     cluster.WriteRow(MakeRow(FenceModel(model), 1));
   }
   for (int model = 0; model < kModels; ++model) {
     cluster.WaitForSlots(FenceModel(model), 1);
   }
-  std::optional<Scene> scene = SceneAt(cluster, "w1a");
-  if (!scene.has_value()) {
-    scene = SceneAt(cluster, "w1b");
+  std::optional<FenceScenario> scenario = FindScenario(cluster, "w1a");
+  if (!scenario.has_value()) {
+    scenario = FindScenario(cluster, "w1b");
   }
-  REQUIRE(scene.has_value());
-  return *scene;
+  REQUIRE(scenario.has_value());
+  return *scenario;
 }
 
-// What the engine said to the first order of the woken keeper; empty when it refused none.
-std::optional<std::string> AnswerToWokenKeeper(TestCluster& cluster) {
-  const Scene scene = MakeScene(cluster);
+// Returns the reason for which the engine refused the first order of the resumed keeper; empty if
+// it refused none.
+std::optional<std::string> RefusalOfResumedKeeper(TestCluster& cluster) {
+  const FenceScenario scenario = MakeScenario(cluster);
   const std::uint64_t before = cluster.LogEnd();
-  REQUIRE(cluster.processes().Pause(NodeId(scene.keeper)).ok());
+  REQUIRE(cluster.processes().Pause(NodeId(scenario.keeper)).ok());
   CallGroup calls;
-  for (const std::string& model : scene.asked_while_frozen) {
-    calls.Add(cluster.Address(scene.successor), MakeCall(model));
+  for (const std::string& model : scenario.requested_while_paused) {
+    calls.Add(cluster.Address(scenario.successor), MakeCall(model));
   }
-  cluster.WaitForLog({.event = "fenced", .worker = scene.worker, .after = before});
+  cluster.WaitForLog({.event = "fenced", .worker = scenario.worker, .after = before});
   const std::vector<FinishedCall> finished = calls.Finish();
   CheckCallsEnded(finished);
-  for (const std::string& model : scene.filling) {
-    cluster.ServeOnce(scene.successor, model);
+  for (const std::string& model : scenario.filling_models) {
+    cluster.ServeOnce(scenario.successor, model);
   }
-  const std::uint64_t woken = cluster.LogEnd();
-  REQUIRE(cluster.processes().Continue(NodeId(scene.keeper)).ok());
+  const std::uint64_t resumed_at = cluster.LogEnd();
+  REQUIRE(cluster.processes().Continue(NodeId(scenario.keeper)).ok());
   const std::optional<load::LogEntry> refused =
-      cluster.AwaitLog({.event = "order_refused",
-                        .worker = scene.worker,
-                        .model = scene.asked_while_frozen.front(),
-                        .after = woken},
-                       kOrderBound);
+      cluster.TryWaitForLog({.event = "order_refused",
+                             .worker = scenario.worker,
+                             .model = scenario.requested_while_paused.front(),
+                             .after = resumed_at},
+                            kOrderBound);
   return refused.has_value() ? std::optional<std::string>(refused->reason) : std::nullopt;
 }
 
 TestClusterOptions OneZone() {
   TestClusterOptions options;
   options.zone_count = 1;
-  // A frozen node is found dead sooner, which keeps the tests short.
+  // A short timeout keeps the tests short: a paused node is declared dead sooner.
   options.node_overrides = {{"membership.suspicion_timeout_ms", "1000"}};
   return options;
 }
 
-TEST_CASE("a keeper frozen past a takeover, then woken: the engine refuses its orders") {
+TEST_CASE("a keeper resumes after a takeover: the engine refuses its orders") {
   std::map<std::string, std::uint64_t> limits;
   for (int model = 0; model < kModels; ++model) {
     limits[FenceModel(model)] = 1;
   }
-  for (int made = 0; made < kMaximumScenes; ++made) {
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
     TestCluster cluster(OneZone());
-    const std::optional<std::string> answer = AnswerToWokenKeeper(cluster);
+    const std::optional<std::string> answer = RefusalOfResumedKeeper(cluster);
     CheckLimits(cluster, limits);
     if (answer.has_value()) {
       CHECK(*answer == "epoch");
       return;
     }
   }
-  FAIL("no woken keeper's order was refused");
+  FAIL("no resumed keeper's order was refused");
 }
 
-TEST_CASE("without the fence the orders of a woken keeper overcommit memory") {
+TEST_CASE("without the fence the orders of a resumed keeper overcommit memory") {
   TestClusterOptions options = OneZone();
   options.emulator_overrides = {{"engine.test_only_disable_fence", "true"}};
-  for (int made = 0; made < kMaximumScenes; ++made) {
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
     TestCluster cluster(options);
-    const std::optional<std::string> answer = AnswerToWokenKeeper(cluster);
+    const std::optional<std::string> answer = RefusalOfResumedKeeper(cluster);
     const Result<load::Totals> totals = cluster.admin().ReadTotals();
     REQUIRE(totals.ok());
     if (totals->overcommits > 0) {
@@ -137,7 +140,7 @@
       return;
     }
   }
-  FAIL("no woken keeper's order overcommitted memory");
+  FAIL("no resumed keeper's order overcommitted memory");
 }
 
 }  // namespace
--- a/tests/failure/limits_test.cc
+++ b/tests/failure/limits_test.cc
@@ -1,4 +1,5 @@
-// Limits on replicas and memory: fences, restarts, late orders, races, lowered limits.
+// Tests the limits on replicas and memory under fences, restarts, late orders, races and lowered
+// limits.
 #include <doctest/doctest.h>
 
 #include "absl/strings/str_cat.h"
@@ -19,13 +20,13 @@
                        [count](const GrantRecord& grant) { return AllSlotsGranted(grant, count); });
 }
 
-// Calls until the model answers (its first grant may still be on its way).
+// Calls until the model answers; its first grant may not have arrived yet.
 void ServeOnce(const TestCluster& cluster, const std::string& node, const std::string& model) {
   REQUIRE(TestCluster::WaitUntil(
       [&] { return cluster.Call(node, MakeCall(model)).outcome == CallerOutcome::kAnswered; }));
 }
 
-// Rows whose replicas can't all be in memory at once (a worker holds two).
+// Number of models whose replicas don't all fit into memory; a worker holds two.
 constexpr int kManyModels = 18;
 
 std::string ManyName(int model) { return absl::StrCat("many-", model); }
@@ -95,7 +96,7 @@
   }));
 }
 
-TEST_CASE("keeper paused past a takeover, then woken: its orders are refused") {
+TEST_CASE("keeper paused during a takeover, then resumed: its orders are refused") {
   TestCluster cluster;
   cluster.PutRow(MakeRow("paused", 1));
   WaitForSlots(cluster, "paused", 1);
@@ -113,7 +114,7 @@
   CheckLimits(cluster, {{"paused", 1}});
 }
 
-TEST_CASE("engine restarted while orders fly, each order doubled late") {
+TEST_CASE("engine restarted while orders are in flight, each order duplicated late") {
   TestClusterOptions options;
   options.emulator_overrides = {{"engine.remote_load_ms_per_gib", "100"}};
   TestCluster cluster(options);
@@ -159,7 +160,7 @@
   }
 }
 
-TEST_CASE("two operators race on one row: one wins, the other is told; nothing reverts") {
+TEST_CASE("two operators race on one row: one wins, the other gets a conflict; nothing reverts") {
   TestCluster cluster;
   cluster.PutRow(MakeRow("contested", 1));
   const std::string key = RowKey(ModelName("contested"));
--- a/tests/failure/machines_test.cc
+++ b/tests/failure/machines_test.cc
@@ -1,4 +1,4 @@
-// Machines, zones and nodes that leave, are cut off, or are restarted.
+// Tests machines, zones and nodes that leave, are partitioned or are restarted.
 #include <doctest/doctest.h>
 
 #include <atomic>
@@ -23,7 +23,7 @@
   }
 }
 
-// Calls one node after the other until told to stop.
+// Calls each of the nodes continuously, one thread per node, until Finish().
 class SteadyLoad {
  public:
   SteadyLoad(std::vector<std::string> addresses, std::string model)
@@ -72,16 +72,16 @@
   return begins;
 }
 
-// Marks a worker that holds `model` as leaving under load, waits until every node of its zone has
-// heard of it, and returns how many requests began there afterwards.
+// Marks a worker that holds `model` as leaving under load, waits until the log has gone on for more
+// than 3 s, and returns how many requests began there afterwards.
 std::uint64_t RequestsAfterLeave(TestCluster& cluster, const std::string& model) {
   Warm(cluster, model, 3);
   const GrantSlot slot = cluster.ReadGrant(ModelName(model)).slots.front();
   SteadyLoad load(cluster.Addresses(), model);
   REQUIRE(!cluster.admin().SetMachine(slot.worker, "leaving"));
   const std::uint64_t marked = cluster.LogEnd();
-  // "A few seconds" after the mark the worker must get nothing new: judged by the engines' log over
-  // enough other requests, not by a clock.
+  // A few seconds after the mark the worker must get no new request. The engines' log decides this
+  // over 200 further entries instead of a fixed time.
   REQUIRE(TestCluster::WaitUntil([&] {
     const Result<std::vector<load::LogEntry>> log = cluster.admin().Log(marked);
     return log.ok() && !log->empty() && log->back().at_ms - log->front().at_ms > 3000;
@@ -116,7 +116,7 @@
 
 TEST_CASE("rolling restart of all nodes under load cuts off no request") {
   TestClusterOptions options;
-  // A stopping node stays to the end of its claim interval: short ones keep the test short.
+  // A stopping node runs until its claim interval ends; a short interval keeps the test short.
   options.node_overrides = {{"claims.interval_ms", "1000"}};
   TestCluster cluster(options);
   Warm(cluster, "rolling", 3);
@@ -132,7 +132,8 @@
     for (const FinishedCall& call : finished) {
       INFO(load::CallerOutcomeName(call.result.outcome).data(), " ", call.result.code, " ",
            call.result.detail);
-      // In progress: answered whole. Later: refused as not run, or no connection.
+      // A request in flight is answered completely; a later one is refused as not run or finds no
+      // connection.
       const bool whole = call.result.outcome == CallerOutcome::kAnswered && !call.result.wrong;
       const bool refused = call.result.outcome == CallerOutcome::kRefused;
       const bool no_connection = call.result.code == "connect_failed";
--- a/tests/failure/mechanisms_test.cc
+++ b/tests/failure/mechanisms_test.cc
@@ -1,5 +1,5 @@
-// Each mechanism on and off in one scenario: with its switch (test_only.*) off, the same judgement
-// must find a violation.
+// Tests each mechanism enabled and disabled in the same scenario. With the mechanism disabled by
+// its test_only.* setting, the same check must find a violation.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -33,7 +33,8 @@
 
 // --- Coalescing ---------------------------------------------------------------------------------
 
-// Loads after one call at each of four routers for one cold model that may have two replicas.
+// Returns the number of loads after one call at each of four routers for a cold model that may have
+// two replicas.
 std::uint64_t LoadsForOneModel(TestCluster& cluster) {
   cluster.PutRow(MakeRow("shared", 2));
   cluster.WaitForSlots("shared", 2);
@@ -60,13 +61,14 @@
 
 // --- Leaving ------------------------------------------------------------------------------------
 
-// The platform is so slow that the slots of the leaving worker outlive the word of its leave: the
-// routers alone keep new work away.
-std::vector<SettingOverride> BearSlowPlatform() {
+// Timeouts for a platform so slow that the slots of a leaving worker are still granted when every
+// node knows of the leave; only the routers then keep new work away from it.
+std::vector<SettingOverride> TolerateSlowPlatform() {
   return {{"platform.timeout_ms", "20000"}, {"records.answer_timeout_ms", "25000"}};
 }
 
-// Requests that were sent after every node had heard of the leave, and yet began at the worker.
+// Returns the number of requests that were sent after every node knew of the leave and still began
+// at the worker.
 std::uint64_t LateRequestsAtLeavingWorker(TestCluster& cluster) {
   ModelRow row = MakeRow("staying", 2);
   row.min_replicas = 2;
@@ -82,8 +84,7 @@
   REQUIRE(!cluster.admin().SetMachine(WorkerId("w1a"), "leaving"));
   REQUIRE(!cluster.admin().SetPlatform(slow));
   for (const load::RunningNode& node : cluster.processes().Nodes()) {
-    REQUIRE(
-        TestCluster::WaitUntil([&] { return cluster.HasHeardOfLeave(node.node.value(), "w1a"); }));
+    REQUIRE(TestCluster::WaitUntil([&] { return cluster.KnowsLeave(node.node.value(), "w1a"); }));
   }
   const std::uint64_t heard = cluster.LogEnd();
   CallGroup calls;
@@ -107,12 +108,12 @@
 }
 
 TEST_CASE("no request goes to a leaving worker although it still has its slots") {
-  TestCluster cluster(OneZone(2, BearSlowPlatform()));
+  TestCluster cluster(OneZone(2, TolerateSlowPlatform()));
   CHECK(LateRequestsAtLeavingWorker(cluster) == 0);
 }
 
 TEST_CASE("without the leaving check requests go to a leaving worker") {
-  std::vector<SettingOverride> overrides = BearSlowPlatform();
+  std::vector<SettingOverride> overrides = TolerateSlowPlatform();
   overrides.push_back({"test_only.disable_leaving", "true"});
   TestCluster cluster(OneZone(2, overrides));
   CHECK(LateRequestsAtLeavingWorker(cluster) > 0);
@@ -120,8 +121,8 @@
 
 // --- Repeat protection --------------------------------------------------------------------------
 
-// The engine is restarted after it began the request and before its first token. A request whose
-// key nobody can decide yet is refused as not run; another one is sent then.
+// Restarts the engine after it has begun a request and before the first token. If the request is
+// refused as not run because its key has no owner yet, sends another one.
 FinishedCall RestartEngineUnderRequest(TestCluster& cluster) {
   cluster.PutRow(MakeRow("dealer", 2));
   cluster.WaitForSlots("dealer", 2);
@@ -130,7 +131,7 @@
     const std::uint64_t before = cluster.LogEnd();
     CallGroup calls;
     calls.Add(cluster.Address(kNode), MakeOnceCall("dealer"));
-    const std::optional<load::LogEntry> begin = cluster.AwaitLog(
+    const std::optional<load::LogEntry> begin = cluster.TryWaitForLog(
         {.event = "generate_begin", .model = "dealer", .after = before}, kBeginBound);
     if (begin.has_value()) {
       REQUIRE(!cluster.admin().RestartEngine(WorkerId(begin->worker)));
@@ -169,7 +170,7 @@
 
 // --- Early refusal ------------------------------------------------------------------------------
 
-// A load takes 40 s, and the estimator knows.
+// Settings with which a load takes 40 s and the estimator expects that.
 TestClusterOptions HopelessLoads(std::vector<SettingOverride> node_overrides = {}) {
   TestClusterOptions options = OneZone(2, std::move(node_overrides));
   options.emulator_overrides = {{"engine.remote_load_ms_per_gib", "10000"}};
@@ -177,7 +178,7 @@
   return options;
 }
 
-std::vector<FinishedCall> CallWithoutHope(TestCluster& cluster) {
+std::vector<FinishedCall> CallWithHopelessWait(TestCluster& cluster) {
   cluster.PutRow(MakeRow("far", 1));
   cluster.WaitForSlots("far", 1);
   CallGroup calls;
@@ -194,7 +195,7 @@
 
 TEST_CASE("hopeless waits are refused before their limit, with a time to come back") {
   TestCluster cluster(HopelessLoads());
-  for (const FinishedCall& call : CallWithoutHope(cluster)) {
+  for (const FinishedCall& call : CallWithHopelessWait(cluster)) {
     CHECK(call.result.code == "wait_hopeless");
     CHECK(call.result.attempt == "not_run");
     CHECK(call.result.retry_after > absl::ZeroDuration());
@@ -204,7 +205,7 @@
 
 TEST_CASE("without early refusal hopeless waits last to their limit") {
   TestCluster cluster(HopelessLoads({{"test_only.disable_early_refusal", "true"}}));
-  for (const FinishedCall& call : CallWithoutHope(cluster)) {
+  for (const FinishedCall& call : CallWithHopelessWait(cluster)) {
     CHECK(call.result.code == "wait_expired");
     CHECK(call.result.total >= call.request.time_limit);
   }
@@ -218,7 +219,7 @@
   ModelRow row;
 };
 
-// Both read the row, then one writes its limit and the other its longest wait.
+// Lets two editors read the row; then one writes its replica limit and the other its longest wait.
 RaceResult RaceOfTwoEdits(TestCluster& cluster, bool compare_and_set) {
   const ModelName name("contested");
   cluster.PutRow(MakeRow(name.value(), 1));
@@ -243,7 +244,8 @@
   return race;
 }
 
-TEST_CASE("two operators read one row and both edit it: the second is told, no edit is lost") {
+TEST_CASE(
+    "two operators read one row and both edit it: the second gets a conflict, no edit is lost") {
   TestCluster cluster(OneZone(1));
   const RaceResult race = RaceOfTwoEdits(cluster, true);
   CHECK(race.first == EditStatus::kApplied);
@@ -260,7 +262,8 @@
 
 // --- Planned stop -------------------------------------------------------------------------------
 
-// Outcome of a request that runs for about a second at a node that is told to stop.
+// Returns the outcome of a request that runs for about a second at a node that is stopped
+// meanwhile.
 FinishedCall StopUnderRequest(TestCluster& cluster) {
   cluster.PutRow(MakeRow("lasting", 1));
   cluster.ServeOnce(kNode, "lasting");
--- a/tests/failure/pairs_test.cc
+++ b/tests/failure/pairs_test.cc
@@ -1,5 +1,5 @@
-// Two faults at once, while requests that may run once only and requests for a cold model go to all
-// nodes.
+// Tests pairs of simultaneous faults while all nodes receive requests that may run only once and
+// requests for a cold model.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -11,19 +11,19 @@
 namespace hingespan::failure {
 namespace {
 
-// Set (to anything) for a long run of all pairs by hand.
+// Environment variable that, set to any value, selects a long run of all pairs.
 constexpr char kAllPairsVariable[] = "HINGESPAN_ALL_FAULT_PAIRS";
 constexpr int kKeys = 10;
-constexpr int kLeastPairsOfFault = 2;
+constexpr int kMinPairsPerFault = 2;
 
-// Each fault takes part in at least two.
+// Pairs in which each fault occurs at least twice.
 constexpr FaultPair kCoveringPairs[] = {
     {FaultKind::kNodeKilled, FaultKind::kZoneCut},
     {FaultKind::kZoneCut, FaultKind::kPlatformDown},
     {FaultKind::kPlatformDown, FaultKind::kMachineLeaving},
     {FaultKind::kMachineLeaving, FaultKind::kWeightStoreSlow},
-    {FaultKind::kWeightStoreSlow, FaultKind::kOrdersDoubledLate},
-    {FaultKind::kOrdersDoubledLate, FaultKind::kEngineRestarted},
+    {FaultKind::kWeightStoreSlow, FaultKind::kOrdersDuplicatedLate},
+    {FaultKind::kOrdersDuplicatedLate, FaultKind::kEngineRestarted},
     {FaultKind::kEngineRestarted, FaultKind::kPlatformLosesAnswers},
     {FaultKind::kPlatformLosesAnswers, FaultKind::kStreamsBroken},
     {FaultKind::kStreamsBroken, FaultKind::kNodePaused},
@@ -33,7 +33,7 @@
     {FaultKind::kOperatorsRace, FaultKind::kNodeKilled},
 };
 
-// The platform is in one state at a time.
+// Returns whether the faults can't be combined: the platform has only one state at a time.
 bool Exclude(FaultKind first, FaultKind second) {
   const std::set<FaultKind> pair = {first, second};
   return pair == std::set<FaultKind>{FaultKind::kPlatformDown, FaultKind::kPlatformLosesAnswers};
@@ -69,12 +69,12 @@
   return requests;
 }
 
-// All calls are in flight together. Those at nodes that are killed, paused or stopped may lose
-// their connection; all others must end explicitly.
+// Calls of a run, all in flight at the same time. Calls at nodes that are killed, paused or stopped
+// may lose their connection; all others must end explicitly.
 class CallsOfPair {
  public:
   explicit CallsOfPair(const FaultPair& pair)
-      : hurt_({FaultOf(pair.first).hurt_node, FaultOf(pair.second).hurt_node}),
+      : affected_nodes_({FaultOf(pair.first).affected_node, FaultOf(pair.second).affected_node}),
         requests_(MakeOnceCalls()) {}
 
   void SendAll(const std::vector<load::RunningNode>& nodes) {
@@ -89,28 +89,28 @@
   }
 
   void Finish(const TestCluster& cluster) {
-    const std::vector<FinishedCall> others = others_.Finish();
+    const std::vector<FinishedCall> others = other_calls_.Finish();
     CheckCallsEnded(others);
-    std::vector<FinishedCall> all = at_hurt_.Finish();
+    std::vector<FinishedCall> all = affected_calls_.Finish();
     all.insert(all.end(), others.begin(), others.end());
     CheckRuns(cluster, all);
   }
 
  private:
   CallGroup& GroupOf(const load::RunningNode& node) {
-    return hurt_.contains(node.node.value()) ? at_hurt_ : others_;
+    return affected_nodes_.contains(node.node.value()) ? affected_calls_ : other_calls_;
   }
 
-  std::set<std::string> hurt_;
+  std::set<std::string> affected_nodes_;
   std::vector<load::CallerRequest> requests_;
-  CallGroup others_;
-  CallGroup at_hurt_;
+  CallGroup other_calls_;
+  CallGroup affected_calls_;
 };
 
 TestClusterOptions PairOptions(const FaultPair& pair) {
   TestClusterOptions options;
   if (pair.first == FaultKind::kNodeStopped || pair.second == FaultKind::kNodeStopped) {
-    // A stopping node stays to the end of its claim interval: short ones keep the test short.
+    // A stopping node runs until its claim interval ends; a short interval keeps the test short.
     options.node_overrides = {{"claims.interval_ms", "1000"}};
   }
   return options;
@@ -150,7 +150,7 @@
     };
     const auto count =
         std::count_if(std::begin(kCoveringPairs), std::end(kCoveringPairs), takes_part);
-    CHECK(count >= kLeastPairsOfFault);
+    CHECK(count >= kMinPairsPerFault);
   }
 }
 
--- a/tests/failure/secured_test.cc
+++ b/tests/failure/secured_test.cc
@@ -1,5 +1,5 @@
-// Nodes as operators secure them: TLS to callers, operators and between nodes, keys for each of
-// them, and the refusal to listen beyond loopback without. Real processes, real certificates.
+// Tests secured nodes with real processes and certificates: TLS to callers, operators and between
+// nodes, a key for each of them, and the refusal to listen beyond loopback without them.
 #include <doctest/doctest.h>
 #include <httplib.h>
 
@@ -30,10 +30,10 @@
 constexpr int kNodeRefused = 1;
 constexpr int kUnreachable = 4;
 
-// Two zones of one node each, with certificates and all keys.
+// Cluster of two zones with one node each, with certificates and all keys.
 class SecuredCluster {
  public:
-  // Nodes trust only nodes that `node_authority` signed; null: the cluster's own certificate.
+  // Nodes trust only certificates that `node_authority` signed; null means the cluster's own one.
   explicit SecuredCluster(const TestCertificate* node_authority = nullptr)
       : node_authority_file_(
             (node_authority == nullptr ? certificate_ : *node_authority).certificate_file()),
@@ -49,7 +49,7 @@
     return processes_.Node(NodeId(node))->http_address;
   }
 
-  // Settings of a node, with `cluster_key` in a file of its own.
+  // Returns the settings of a node, with `cluster_key` in a separate file.
   std::vector<SettingOverride> NodeOverrides(const std::string& cluster_key) const {
     return {{"http.tls.certificate_file", certificate_.certificate_file()},
             {"http.tls.key_file", certificate_.key_file()},
@@ -59,14 +59,14 @@
             {"secrets.cluster_key_file", KeyFile(cluster_key)}};
   }
 
-  // The file stands beside the certificate, and goes with it.
+  // Writes the key to a file beside the certificate, which is deleted together with it.
   std::string KeyFile(const std::string& key) const {
     std::string name = absl::StrCat(certificate_.key_file(), ".", key.substr(0, key.find('-')));
     std::ofstream(name) << key << "\n";
     return name;
   }
 
-  // A caller that trusts the nodes' authority.
+  // Returns a client that trusts the nodes' certificate authority.
   std::unique_ptr<httplib::Client> Caller(const std::string& node) const {
     auto client = std::make_unique<httplib::Client>(absl::StrCat("https://", Address(node)));
     client->set_ca_cert_path(certificate_.certificate_file());
@@ -74,7 +74,7 @@
     return client;
   }
 
-  // A model that only zone z2 serves, known at `node`.
+  // Writes the row of a model that only zone z2 serves and waits until `node` knows it.
   void PutFarRow(const std::string& node) {
     ModelRow row = MakeRow("far", 1);
     row.weights = {{ZoneId("z2"), 1}};
@@ -92,7 +92,7 @@
     }));
   }
 
-  // The stream of `far`, asked for again while it is refused for want of a known node in z2.
+  // Requests a stream of `far`, with retries while it is refused because no node in z2 is known.
   static httplib::Result PostOnceReachable(httplib::Client* caller) {
     httplib::Result answer(nullptr, httplib::Error::Unknown);
     TestCluster::WaitUntil([&] {
@@ -102,7 +102,7 @@
     return answer;
   }
 
-  // The last of the answers until the node has tried to forward the stream.
+  // Requests the stream until the node has tried to forward it, and returns the last answer.
   static httplib::Result PostOnceForwarded(const SecuredCluster& cluster, httplib::Client* caller) {
     httplib::Result answer(nullptr, httplib::Error::Unknown);
     CHECK(TestCluster::WaitUntil([&] {
@@ -112,7 +112,7 @@
     return answer;
   }
 
-  // Value of a metric without labels.
+  // Returns the value of a metric without labels, or -1 if it is missing.
   double Metric(const std::string& node, const std::string& name) const {
     const httplib::Result answer = Caller(node)->Get("/metrics");
     const std::string text = answer ? answer->body : std::string();
@@ -127,7 +127,7 @@
     return value;
   }
 
-  // Exit code of `hingespan status` of `node`.
+  // Runs `hingespan status` against `node` and returns its exit code.
   int AskStatus(const std::string& node, const std::vector<std::string>& flags) const {
     std::vector<std::string> arguments{absl::StrCat(HINGESPAN_PROGRAM_DIRECTORY, "/hingespan"),
                                        "--node", Address(node)};
@@ -157,7 +157,7 @@
   std::unique_ptr<HttpTableService> table_;
 };
 
-// Arguments of a node in zone z1 that does not reach any platform.
+// Returns the command line of a node in zone z1 whose platform is unreachable.
 std::vector<std::string> LoneNode(const std::vector<std::string>& more) {
   std::vector<std::string> arguments{absl::StrCat(HINGESPAN_PROGRAM_DIRECTORY, "/hingespand"),
                                      "--node",
@@ -172,7 +172,7 @@
   return arguments;
 }
 
-TEST_CASE("with TLS and keys, requests reach another zone, and strangers reach nothing") {
+TEST_CASE("with TLS and keys, requests reach another zone, and unauthorized clients are rejected") {
   SecuredCluster cluster;
   cluster.PutFarRow("z1-n1");
   const auto caller = cluster.Caller("z1-n1");
@@ -200,8 +200,8 @@
     }
   }
   SUBCASE("a caller that does not know the authority does not talk to the node") {
-    httplib::Client stranger(absl::StrCat("https://", cluster.Address("z1-n1")));
-    CHECK(!stranger.Get("/healthz"));
+    httplib::Client untrusting_client(absl::StrCat("https://", cluster.Address("z1-n1")));
+    CHECK(!untrusting_client.Get("/healthz"));
   }
   SUBCASE("plain HTTP is not answered") {
     httplib::Client plain(absl::StrCat("http://", cluster.Address("z1-n1")));
@@ -246,9 +246,9 @@
     arguments.emplace_back("--set");
     arguments.push_back(absl::StrCat(setting.key, "=", setting.value));
   }
-  const auto stranger = ChildProcess::Start(arguments);
-  REQUIRE(stranger.ok());
-  // It asked, and asked again, and nothing of it was taken.
+  const auto foreign_node = ChildProcess::Start(arguments);
+  REQUIRE(foreign_node.ok());
+  // The node has retried, and all its messages were dropped.
   CHECK(TestCluster::WaitUntil(
       [&] { return cluster.Metric("z1-n1", "hingespan_control_unsigned_dropped_total") >= 3; }));
   CHECK(cluster.Metric("z1-n1", "hingespan_members") == members);
@@ -266,10 +266,10 @@
   refuse({"--http-listen", "0.0.0.0:0"}, "http.listen");
   refuse({"--set", "control.listen=0.0.0.0:0"}, "control.listen");
 
-  const auto told = ChildProcess::Start(
+  const auto insecure_node = ChildProcess::Start(
       LoneNode({"--http-listen", "0.0.0.0:0", "--set", "node.allow_insecure=true"}));
-  REQUIRE(told.ok());
-  CHECK((*told)->WaitForEvent("listening", kWaitBound).ok());
+  REQUIRE(insecure_node.ok());
+  CHECK((*insecure_node)->WaitForEvent("listening", kWaitBound).ok());
 }
 
 }  // namespace
--- a/tests/failure/test_cluster.cc
+++ b/tests/failure/test_cluster.cc
@@ -18,9 +18,9 @@
 
 constexpr char kSettings[] = HINGESPAN_SOURCE_DIRECTORY "/tests/failure/emulator.toml";
 constexpr absl::Duration kPlatformTimeout = absl::Seconds(5);
-// Between two looks at a condition that no event announces.
-constexpr absl::Duration kLookAgain = absl::Milliseconds(20);
-// A caller's own clock and the network add to the time limit.
+// Polling interval for conditions that no event announces.
+constexpr absl::Duration kPollInterval = absl::Milliseconds(20);
+// Allowance on the time limit for the caller's own clock and the network.
 constexpr absl::Duration kLimitTolerance = absl::Seconds(3);
 
 std::string Get(const std::string& address, const std::string& path) {
@@ -166,8 +166,8 @@
   return log->empty() ? 0 : log->back().sequence;
 }
 
-std::optional<load::LogEntry> TestCluster::AwaitLog(const load::LogFilter& filter,
-                                                    absl::Duration bound) const {
+std::optional<load::LogEntry> TestCluster::TryWaitForLog(const load::LogFilter& filter,
+                                                         absl::Duration bound) const {
   Result<load::LogEntry> entry = admin_->WaitForEntry(filter, bound);
   return entry.ok() ? std::optional<load::LogEntry>(std::move(*entry)) : std::nullopt;
 }
@@ -184,7 +184,7 @@
     if (absl::Now() >= deadline) {
       return false;
     }
-    absl::Notification().WaitForNotificationWithTimeout(kLookAgain);
+    absl::Notification().WaitForNotificationWithTimeout(kPollInterval);
   }
   return true;
 }
@@ -193,7 +193,7 @@
   return Get(Address(node), absl::StrCat("/admin/explain?model=", model.value()));
 }
 
-bool TestCluster::HasHeardOfLeave(const std::string& node, const std::string& worker) const {
+bool TestCluster::KnowsLeave(const std::string& node, const std::string& worker) const {
   const auto status = nlohmann::json::parse(Get(Address(node), "/admin/status"), nullptr, false);
   const auto none = nlohmann::json::array();
   const auto workers = status.is_object() ? status.value("workers", none) : none;
--- a/tests/failure/test_cluster.h
+++ b/tests/failure/test_cluster.h
@@ -1,6 +1,6 @@
-// An emulator and nodes as real processes, an operator's writes, callers in parallel, and the
-// checks that every failure test ends with. Verdicts come from the engines' own log and the
-// callers' counts.
+// Test cluster of an emulator and nodes as real processes, with operator writes, parallel callers
+// and the checks that end every failure test. The checks use the engines' own log and the callers'
+// counts.
 #ifndef HINGESPAN_TESTS_FAILURE_TEST_CLUSTER_H_
 #define HINGESPAN_TESTS_FAILURE_TEST_CLUSTER_H_
 
@@ -23,7 +23,7 @@
 
 namespace hingespan::failure {
 
-// Bound of every wait for an event; far above what any of them takes.
+// Timeout of every wait for an event, far above the time that any of them takes.
 inline constexpr absl::Duration kWaitBound = absl::Seconds(30);
 
 struct TestClusterOptions {
@@ -33,13 +33,13 @@
   std::vector<SettingOverride> emulator_overrides;
 };
 
-// A call and how it ended.
+// A call and its result.
 struct FinishedCall {
   load::CallerRequest request;
   load::CallerResult result;
 };
 
-// Calls that run in the background, each in its own thread.
+// Calls that run in the background, each in its own thread. Not thread-safe.
 class CallGroup {
  public:
   CallGroup() = default;
@@ -48,7 +48,7 @@
   CallGroup& operator=(const CallGroup&) = delete;
 
   void Add(const std::string& address, const load::CallerRequest& request);
-  // Waits for all and returns them.
+  // Waits for all calls and returns them.
   std::vector<FinishedCall> Finish();
 
  private:
@@ -68,30 +68,32 @@
   std::string Address(const std::string& node) const;
   std::vector<std::string> Addresses() const { return processes_->HttpAddresses(); }
 
-  // Writes the row (as the only operator) and waits until every node that runs knows it.
+  // Writes the row (as the only operator) and waits until every running node knows it.
   void PutRow(const ModelRow& row);
-  // The same without the wait.
+  // Writes the row without waiting.
   TableRevision WriteRow(const ModelRow& row);
   void WaitForRow(const std::string& node, const ModelName& model);
   // Waits until the platform's grant record of the model satisfies `condition`.
   void WaitForGrant(const ModelName& model,
                     const std::function<bool(const GrantRecord&)>& condition);
   GrantRecord ReadGrant(const ModelName& model);
-  // Node that keeps the worker, as the nodes of its zone say; waits until they agree.
+  // Returns the keeper of the worker; waits until the nodes of its zone agree on it.
   std::string KeeperOf(const std::string& worker);
-  // The latest entry of the engines' log so far.
+  // Returns the number of the latest entry in the engines' log.
   std::uint64_t LogEnd() const;
   load::LogEntry WaitForLog(const load::LogFilter& filter) const;
-  // As WaitForLog, for what need not come in each run: empty when it has not come by the bound.
-  std::optional<load::LogEntry> AwaitLog(const load::LogFilter& filter, absl::Duration bound) const;
-  // Waits until `condition` holds, looking again after every try.
+  // Like WaitForLog, for an entry that doesn't occur in every run; empty if it is missing after
+  // `bound`.
+  std::optional<load::LogEntry> TryWaitForLog(const load::LogFilter& filter,
+                                              absl::Duration bound) const;
+  // Polls until `condition` holds; returns false after kWaitBound.
   static bool WaitUntil(const std::function<bool()>& condition);
   std::string Explain(const std::string& node, const ModelName& model) const;
-  // Whether the node has heard that the worker leaves.
-  bool HasHeardOfLeave(const std::string& node, const std::string& worker) const;
-  // Waits until `replicas` slots of the model are granted and every node knows of them.
+  // Returns whether the node knows that the worker is leaving.
+  bool KnowsLeave(const std::string& node, const std::string& worker) const;
+  // Waits until `replicas` slots of the model are granted and every node knows them.
   void WaitForSlots(const std::string& model, std::size_t replicas);
-  // Calls until the model answers (its first grant may still be on its way).
+  // Calls until the model answers; its first grant may not have arrived yet.
   void ServeOnce(const std::string& node, const std::string& model) const;
 
   load::CallerResult Call(const std::string& node, const load::CallerRequest& request) const;
@@ -103,20 +105,21 @@
   std::unique_ptr<HttpTableService> table_;
 };
 
-// A 4 GiB model that waits up to 20 s.
+// Returns a row of a 4 GiB model with a longest wait of 20 s.
 ModelRow MakeRow(const std::string& name, std::uint32_t max_replicas);
-// A repeatable streaming request of 8 tokens.
+// Returns a repeatable streaming request of 8 tokens.
 load::CallerRequest MakeCall(const std::string& model);
-// A request that may run once only, with a fresh key that carries its time.
+// Returns a request that may run only once, with a new key that carries its time.
 load::CallerRequest MakeOnceCall(const std::string& model);
 
 // The checks below are doctest CHECKs.
 
-// No engine ever held more than its memory, no model more replicas than `limits` allows.
+// Checks that no engine ever exceeded its memory and no model the replicas that `limits` allows.
 void CheckLimits(const TestCluster& cluster, const std::map<std::string, std::uint64_t>& limits);
-// Every call ended explicitly, within its time limit; every answer is whole and its own.
+// Checks that every call ended explicitly within its time limit, and that every answer is complete
+// and belongs to its call.
 void CheckCallsEnded(const std::vector<FinishedCall>& calls);
-// No key ran twice; what was refused as not run did not run.
+// Checks that no key ran twice and that no request that was refused as not run did run.
 void CheckRuns(const TestCluster& cluster, const std::vector<FinishedCall>& calls);
 
 }  // namespace hingespan::failure
