--- a/tests/simulation/simulated_fleet.cc
+++ b/tests/simulation/simulated_fleet.cc
@@ -13,7 +13,7 @@
 
 constexpr std::uint64_t kDatagramHeaderBytes = 28;
 constexpr int kChangesPerRead = 500;
-// Wall-clock time at the world's start: 2026-12-02, any fixed instant.
+// Wall-clock time at the start of the simulation: 2026-12-02, an arbitrary fixed instant.
 constexpr std::int64_t kEpochSeconds = 1796169600;
 
 absl::Duration ProcessorTime() {
@@ -109,7 +109,7 @@
   }
   node->incarnation = core.incarnation;
   node->paused = false;
-  node->held.clear();
+  node->deferred.clear();
   node->core = std::make_unique<NodeCore>(std::move(core));
 }
 
@@ -144,7 +144,7 @@
   return condition();
 }
 
-// Nodes tick spread over the interval, as real ones do.
+// Ticks of nodes are spread over the interval, as those of real nodes are.
 void SimulatedFleet::TickAll() {
   const absl::Time end = now_ + options_.tick_interval;
   const absl::Duration spread = options_.tick_interval / static_cast<double>(nodes_.size() + 1);
@@ -187,11 +187,11 @@
   const absl::Duration before = ProcessorTime();
   step(node->core.get(), &outbox);
   node->usage.processor_time += ProcessorTime() - before;
-  CarryOut(node, std::move(outbox));
+  ExecuteOutbox(node, std::move(outbox));
   TakeDecisions(node);
 }
 
-void SimulatedFleet::CarryOut(Node* node, Outbox outbox) {
+void SimulatedFleet::ExecuteOutbox(Node* node, Outbox outbox) {
   for (const OutgoingMessage& message : outbox.messages) {
     SendMessage(node, message);
   }
@@ -244,7 +244,7 @@
     return;
   }
   if (target->paused) {
-    target->held.push_back([this, target, bytes] { DeliverBytes(target, bytes); });
+    target->deferred.push_back([this, target, bytes] { DeliverBytes(target, bytes); });
     return;
   }
   target->usage.messages_received += 1;
@@ -272,7 +272,7 @@
         });
       };
       if (node->paused) {
-        node->held.emplace_back(deliver);
+        node->deferred.emplace_back(deliver);
       } else {
         deliver();
       }
@@ -322,7 +322,7 @@
       });
     };
     if (node->paused) {
-      node->held.emplace_back(deliver);
+      node->deferred.emplace_back(deliver);
     } else {
       deliver();
     }
@@ -384,7 +384,7 @@
 void SimulatedFleet::Kill(const NodeId& id) {
   Node& node = nodes_.at(id);
   node.core.reset();
-  node.held.clear();
+  node.deferred.clear();
   std::vector<RequestId> broken;
   for (const auto& [request, open] : open_) {
     if (open.node == id) {
@@ -403,9 +403,9 @@
 void SimulatedFleet::Continue(const NodeId& id) {
   Node& node = nodes_.at(id);
   node.paused = false;
-  std::vector<std::function<void()>> held;
-  held.swap(node.held);
-  for (const auto& run : held) {
+  std::vector<std::function<void()>> deferred;
+  deferred.swap(node.deferred);
+  for (const auto& run : deferred) {
     run();
   }
 }
--- a/tests/simulation/simulated_fleet.h
+++ b/tests/simulation/simulated_fleet.h
@@ -1,6 +1,6 @@
-// Many nodes in one process and one thread, in virtual time: real coordination code (NodeCore) over
-// a simulated network, platform and the emulator's engines. For scale measurements, and for tests
-// that need many nodes under faults with the same verdict every run.
+// Deterministic simulation of many nodes in one thread and in virtual time: the real coordination
+// code (NodeCore) runs over a simulated network and platform and the emulator's engines. Used for
+// scale measurements and for tests that need many nodes under faults with a reproducible result.
 #ifndef TESTS_SIMULATION_SIMULATED_FLEET_H_
 #define TESTS_SIMULATION_SIMULATED_FLEET_H_
 
@@ -37,12 +37,12 @@
   int nodes_per_zone = 3;
   int workers_per_zone = 4;
   emulator::EngineOptions engine;
-  // Zones and workers of a deployment; when given, the three counts of zones, workers and the
-  // common engine options above are not used.
+  // Zones and workers of a deployment. If given, they replace the numbers of zones and workers and
+  // the common engine options above.
   std::vector<ZoneId> zone_names;
   std::vector<SimulatedWorker> workers;
   emulator::WeightStoreOptions weight_store;
-  // Options of every node's core; names, zones, seeds and addresses are filled in.
+  // Options of every node's core; the simulation sets names, zones, seeds and addresses.
   CoreOptions core;
   absl::Duration tick_interval = absl::Milliseconds(20);
   absl::Duration delay_in_zone = absl::Microseconds(300);
@@ -51,17 +51,17 @@
   absl::Duration engine_delay = absl::Milliseconds(1);
   // Running time of a request at an engine.
   absl::Duration service_time = absl::Milliseconds(400);
-  // Engines pace requests themselves, token by token, instead of `service_time`.
+  // True if engines pace requests themselves, token by token, instead of `service_time`.
   bool engines_pace_requests = false;
-  // How often engines advance by themselves; zero: once a tick.
+  // Interval at which engines advance by themselves; zero means once per tick.
   absl::Duration engine_step = absl::ZeroDuration();
-  // Share of messages that are lost, and that arrive twice.
+  // Fractions of messages that are lost and that arrive twice.
   double loss = 0.0;
   double duplication = 0.0;
   std::uint64_t seed = 1;
 };
 
-// What a node spent since its start.
+// Resources that a node has used since its start.
 struct NodeUsage {
   std::uint64_t messages_sent = 0;
   std::uint64_t messages_received = 0;
@@ -83,21 +83,22 @@
   std::map<RefusalCode, std::uint64_t> refused;
 };
 
-// Told what engines do and how callers' requests end. Must not call the world back.
+// Receives the events of engines and the results of callers' requests. Must not call the
+// simulation.
 class FleetObserver {
  public:
   virtual ~FleetObserver() = default;
-  // `engine` is the one that the event is of.
+  // `engine` is the engine that logged the entry.
   virtual void OnEngineEvent(const emulator::LogEntry& entry, const emulator::Engine& engine,
                              absl::Time now) = 0;
-  // An engine has begun the answer of a caller's request, in whichever zone it runs.
+  // Called when an engine in any zone has begun the answer to a caller's request.
   virtual void OnAnswerBegun(const RequestId& request, const WorkerId& worker, absl::Time now) = 0;
   // `refusal` is null for requests that were not refused.
   virtual void OnRequestEnded(const RequestId& request, AttemptOutcome outcome,
                               const Refusal* refusal, absl::Time now) = 0;
 };
 
-// Platform behaviour.
+// State of the simulated platform.
 enum class PlatformState { kUp, kDown, kLosesAnswers };
 
 // Not thread-safe.
@@ -107,54 +108,54 @@
   ~SimulatedFleet() override;
 
   void RunFor(absl::Duration duration);
-  // True as soon as `condition` holds, looked at after every tick; false after `bound`.
+  // Runs until `condition` holds, checked after every tick; returns false after `bound`.
   bool RunUntil(const std::function<bool()>& condition, absl::Duration bound);
   absl::Time now() const { return now_; }
   absl::Time WallTime() const;
 
   // Writes rows as an operator; `rows_per_transaction` share a revision.
   void WriteRows(const std::vector<ModelRow>& rows, int rows_per_transaction = 1);
-  // A caller's request at a node; it ends by itself. A request without a name gets one. Answers
-  // have `maximum_tokens` tokens where engines pace requests.
+  // Submits a caller's request to a node; it ends by itself. A request without an id gets one. Answers have
+  // `maximum_tokens` tokens if engines pace requests.
   void Submit(const NodeId& node, RouteRequest request, int maximum_tokens = 4);
-  // Runs something at a time to come, between the events of the world.
+  // Schedules `run` at a future time, between the events of the simulation.
   void At(absl::Time when, std::function<void()> run);
-  // May be null; must outlive the world.
+  // `observer` may be null and must outlive the simulation.
   void SetObserver(FleetObserver* observer) { observer_ = observer; }
 
-  // Faults.
+  // Fault injection.
   void Kill(const NodeId& node);
   // Starts a killed node as a new incarnation.
   void Restart(const NodeId& node);
-  // A paused node handles nothing until Continue; then all at once.
+  // A paused node handles nothing until Continue, and then everything that has arrived meanwhile.
   void Pause(const NodeId& node);
   void Continue(const NodeId& node);
   void SetPlatform(PlatformState state) { platform_state_ = state; }
   void CutZone(const ZoneId& zone, bool cut);
   void RestartEngine(const WorkerId& worker);
   void SetWorkerState(const WorkerId& worker, MachineState state);
-  // Share of messages that are lost from now on.
+  // Sets the fraction of messages that are lost from now on.
   void SetLoss(double share) { options_.loss = share; }
 
   std::vector<NodeId> nodes() const;
   std::vector<WorkerId> workers() const;
-  // Null while killed.
+  // Returns null while the node is killed.
   const NodeCore* core(const NodeId& node) const;
   const NodeUsage& usage(const NodeId& node) const;
   const emulator::TableServiceStore& table() const { return table_; }
   const emulator::WeightStore& weight_store() const { return weight_store_; }
-  // Sums over all engines.
+  // Returns the memory use summed over all engines.
   emulator::MemoryUse memory_use();
-  // Every live node holds the platform's latest revision.
+  // Returns whether every live node holds the platform's latest revision.
   bool Converged() const;
   bool AllReady() const;
   std::uint64_t ready_replicas() const;
 
-  // What engines and callers saw.
+  // Results that engines and callers observed.
   std::uint64_t overcommits() const { return overcommits_; }
-  // Most replicas that engines held at once.
+  // Highest number of replicas of each model that engines deferred at the same time.
   const std::map<ModelName, int>& maximum_replicas() const { return maximum_replicas_; }
-  // How often engines began a request, by idempotency key.
+  // Number of times that engines began a request, by idempotency key.
   const std::map<IdempotencyKey, int>& runs_by_key() const { return runs_by_key_; }
   const RequestCounts& requests() const { return requests_; }
   std::uint64_t open_requests() const { return open_.size(); }
@@ -168,8 +169,8 @@
     NodeIncarnation incarnation;
     bool paused = false;
     NodeUsage usage;
-    // What came in while paused.
-    std::vector<std::function<void()>> held;
+    // Deliveries that arrived while the node was paused.
+    std::vector<std::function<void()>> deferred;
   };
   struct Event {
     absl::Time at;
@@ -179,11 +180,11 @@
   struct LaterEvent {
     bool operator()(const Event& left, const Event& right) const;
   };
-  // A caller's request: where it runs now.
+  // A caller's request in flight and the node that handles it.
   struct OpenRequest {
     RouteRequest request;
     NodeId node;
-    // Set on the part of a forwarded request that the other zone's node handles.
+    // Set for the part of a forwarded request that the other zone's node handles.
     RequestId forwarded_for;
     NodeId forwarded_by;
     int maximum_tokens = 4;
@@ -198,9 +199,9 @@
   void RunEventsUntil(absl::Time until);
   void TickAll();
   void AdvanceEngines();
-  // Runs a step of a node's core under the processor clock and carries out its outbox.
+  // Runs a step of a node's core, measures its processor time and executes its outbox.
   void Step(Node* node, const std::function<void(NodeCore*, Outbox*)>& step);
-  void CarryOut(Node* node, Outbox outbox);
+  void ExecuteOutbox(Node* node, Outbox outbox);
   void SendMessage(Node* node, const OutgoingMessage& outgoing);
   void DeliverBytes(Node* target, const std::string& bytes);
   Node* NodeAt(const std::string& control_address);
@@ -211,7 +212,7 @@
   ValueChangePage ReadChanges(TableRevision after) const;
   MachineListing Machines() const;
   void TakeDecisions(Node* node);
-  void CarryOutDecision(Node* node, const RouteDecision& decision);
+  void ExecuteDecision(Node* node, const RouteDecision& decision);
   void DispatchToEngine(Node* node, const RouteDecision& decision);
   void Forward(Node* node, const RouteDecision& decision);
   void FinishAtServiceTime(const NodeId& node, const WorkerId& worker,
--- a/tests/simulation/simulated_fleet_requests.cc
+++ b/tests/simulation/simulated_fleet_requests.cc
@@ -1,4 +1,4 @@
-// Callers of the simulated fleet: a request's way from a node to an engine and back.
+// Callers of the simulated fleet: the path of a request from a node to an engine and back.
 #include <utility>
 
 #include "absl/strings/str_cat.h"
@@ -26,11 +26,11 @@
     return;
   }
   for (const RouteDecision& decision : node->core->TakeDecisions()) {
-    CarryOutDecision(node, decision);
+    ExecuteDecision(node, decision);
   }
 }
 
-void SimulatedFleet::CarryOutDecision(Node* node, const RouteDecision& decision) {
+void SimulatedFleet::ExecuteDecision(Node* node, const RouteDecision& decision) {
   switch (decision.action) {
     case RouteAction::kDispatch:
       DispatchToEngine(node, decision);
@@ -109,7 +109,7 @@
   }
 }
 
-// The engine is in the middle of a step: the node hears of it later.
+// Called in the middle of an engine's step, so the node is notified later.
 void SimulatedFleet::OnGenerationEnded(const emulator::LogEntry& entry) {
   const auto open = open_.find(entry.request);
   if (open == open_.end()) {
@@ -155,7 +155,7 @@
      });
 }
 
-// Tells the node how its dispatch or forward ended; the router decides what follows.
+// Reports to the node how its dispatch or forward ended; the router decides what follows.
 void SimulatedFleet::Finish(const NodeId& id, const RequestId& request, AttemptOutcome outcome) {
   const auto open = open_.find(request);
   Node& node = nodes_.at(id);
@@ -163,7 +163,7 @@
     return;
   }
   if (node.paused) {
-    node.held.emplace_back([this, id, request, outcome] { Finish(id, request, outcome); });
+    node.deferred.emplace_back([this, id, request, outcome] { Finish(id, request, outcome); });
     return;
   }
   Step(&node, [&](NodeCore* core, Outbox* outbox) {
--- a/tests/simulation/simulated_permits.cc
+++ b/tests/simulation/simulated_permits.cc
@@ -89,7 +89,7 @@
   load.duration = duration;
   load.deadline = now_ + time_left;
   loads_.push_back(load);
-  nodes_[Id(zone, node)].wishes[loads_.size() - 1] = Wish();
+  nodes_[Id(zone, node)].pending_loads[loads_.size() - 1] = PendingLoad();
   return loads_.size() - 1;
 }
 
@@ -114,12 +114,12 @@
                      [this](const PermitLoad& load) { return load.ended <= now_; });
 }
 
-// The engines go on with the loads of a killed node's keeper.
+// Engines continue the loads of a killed node's keeper.
 void SimulatedPermits::Kill(int zone, int node) {
   Node& killed = nodes_[Id(zone, node)];
   killed.alive = false;
   killed.paused = false;
-  killed.wishes.clear();
+  killed.pending_loads.clear();
 }
 
 void SimulatedPermits::Start(int zone, int node) {
@@ -150,19 +150,19 @@
 }
 
 void SimulatedPermits::NameHolder(int zone, int node, int holder) {
-  nodes_[Id(zone, node)].named = holder;
+  nodes_[Id(zone, node)].known_holder = holder;
 }
 
 void SimulatedPermits::Deliver() {
-  while (!flights_.empty() && flights_.begin()->first <= now_) {
-    const Flight flight = std::move(flights_.begin()->second);
-    flights_.erase(flights_.begin());
-    Node& node = nodes_[flight.to];
+  while (!in_flight_.empty() && in_flight_.begin()->first <= now_) {
+    const MessageInFlight message_in_flight = std::move(in_flight_.begin()->second);
+    in_flight_.erase(in_flight_.begin());
+    Node& node = nodes_[message_in_flight.to];
     if (node.paused) {
-      // Read when it wakes.
-      flights_.emplace(now_ + kStep, flight);
+      // Retried until the node resumes.
+      in_flight_.emplace(now_ + kStep, message_in_flight);
     } else if (node.alive) {
-      Receive(flight.to, &node, flight.envelope);
+      Receive(message_in_flight.to, &node, message_in_flight.envelope);
     }
   }
 }
@@ -170,14 +170,14 @@
 void SimulatedPermits::Receive(const NodeId& id, Node* node, const Envelope& envelope) {
   Outbox outbox;
   const absl::Time clock = ClockOf(*node);
-  const bool is_holder = Id(node->zone, node->named) == id;
+  const bool is_holder = Id(node->zone, node->known_holder) == id;
   if (const auto* reply = std::get_if<PermitReply>(&envelope.message)) {
     OnReply(id, node, *reply);
   } else if (const auto* vote = std::get_if<PermitVoteRequest>(&envelope.message)) {
     node->permits->Handle(envelope, *vote, clock, &outbox);
   } else if (const auto* loan = std::get_if<PermitLoanRequest>(&envelope.message);
              loan && !is_holder) {
-    PassOn(*node, *loan, &outbox);
+    ForwardLoanRequest(*node, *loan, &outbox);
   } else if (is_holder) {
     if (const auto* request = std::get_if<PermitRequest>(&envelope.message)) {
       node->permits->Handle(envelope, *request, clock, &outbox);
@@ -192,12 +192,12 @@
   Send(id, outbox);
 }
 
-void SimulatedPermits::PassOn(const Node& node, const PermitLoanRequest& request,
-                              Outbox* outbox) const {
+void SimulatedPermits::ForwardLoanRequest(const Node& node, const PermitLoanRequest& request,
+                                          Outbox* outbox) const {
   if (!request.passed_on) {
     PermitLoanRequest passed_on = request;
     passed_on.passed_on = true;
-    outbox->Send(Id(node.zone, node.named), passed_on);
+    outbox->Send(Id(node.zone, node.known_holder), passed_on);
   }
 }
 
@@ -206,16 +206,16 @@
     return;
   }
   const std::size_t load = LoadOf(reply.model);
-  const auto wish = node->wishes.find(load);
-  if (wish == node->wishes.end()) {
+  const auto pending = node->pending_loads.find(load);
+  if (pending == node->pending_loads.end()) {
     const auto number = numbers_.find(load);
     if (number == numbers_.end() || number->second != reply.number) {
       Return(id, *node, load, reply.number);
     }
     return;
   }
-  const bool usable = wish->second.number == reply.number &&
-                      ClockOf(*node) - wish->second.asked_at < options_.permit_use_within;
+  const bool usable = pending->second.number == reply.number &&
+                      ClockOf(*node) - pending->second.requested_at < options_.permit_use_within;
   if (!usable) {
     return;
   }
@@ -223,51 +223,51 @@
   loads_[load].began = now_;
   ends_.emplace(now_ + loads_[load].duration, load);
   most_running_ = std::max(most_running_, ++running_);
-  node->wishes.erase(wish);
+  node->pending_loads.erase(pending);
 }
 
 void SimulatedPermits::TickNode(const NodeId& id, Node* node) {
   Outbox outbox;
-  const PermitHolder::View view = {Id(node->zone, node->named) == id, node->peers,
+  const PermitHolder::View view = {Id(node->zone, node->known_holder) == id, node->peers,
                                    node->other_zones};
   node->permits->Tick(view, ClockOf(*node), &outbox);
   Send(id, outbox);
-  AskPermits(id, node);
+  RequestPermits(id, node);
 }
 
-void SimulatedPermits::AskPermits(const NodeId& id, Node* node) {
+void SimulatedPermits::RequestPermits(const NodeId& id, Node* node) {
   const absl::Time clock = ClockOf(*node);
   Outbox outbox;
-  GiveUp(id, node);
-  for (auto& [load, wish] : node->wishes) {
-    if (clock < wish.next_ask) {
+  AbandonExpiredLoads(id, node);
+  for (auto& [load, pending] : node->pending_loads) {
+    if (clock < pending.next_request_at) {
       continue;
     }
-    wish.next_ask = clock + options_.permit_retry;
-    if (wish.number == 0 || clock - wish.asked_at >= options_.permit_use_within) {
-      wish.number = (node->incarnation.value() << 32) + node->next_number++;
-      wish.asked_at = clock;
+    pending.next_request_at = clock + options_.permit_retry;
+    if (pending.number == 0 || clock - pending.requested_at >= options_.permit_use_within) {
+      pending.number = (node->incarnation.value() << 32) + node->next_number++;
+      pending.requested_at = clock;
     }
     PermitRequest request;
     request.worker = WorkerOf(id);
     request.model = ModelOf(load);
-    request.number = wish.number;
+    request.number = pending.number;
     request.waiting = 1;
     const std::int64_t left = absl::ToInt64Milliseconds(loads_[load].deadline - now_);
     request.earliest_deadline_ms = static_cast<std::uint32_t>(std::max<std::int64_t>(0, left));
-    outbox.Send(Id(node->zone, node->named), request);
+    outbox.Send(Id(node->zone, node->known_holder), request);
   }
   Send(id, outbox);
 }
 
-// Loads that nobody waits for any more return the permit that they may have been granted.
-void SimulatedPermits::GiveUp(const NodeId& id, Node* node) {
-  for (auto wish = node->wishes.begin(); wish != node->wishes.end();) {
-    const bool given_up = now_ >= loads_[wish->first].deadline + kDeadlineGrace;
-    if (given_up && wish->second.number != 0) {
-      Return(id, *node, wish->first, wish->second.number);
+// Loads that no request waits for any more return the permit that they may have been granted.
+void SimulatedPermits::AbandonExpiredLoads(const NodeId& id, Node* node) {
+  for (auto pending = node->pending_loads.begin(); pending != node->pending_loads.end();) {
+    const bool expired = now_ >= loads_[pending->first].deadline + kDeadlineGrace;
+    if (expired && pending->second.number != 0) {
+      Return(id, *node, pending->first, pending->second.number);
     }
-    wish = given_up ? node->wishes.erase(wish) : std::next(wish);
+    pending = expired ? node->pending_loads.erase(pending) : std::next(pending);
   }
 }
 
@@ -279,7 +279,7 @@
     --running_;
     const NodeId id = Id(loads_[load].zone, loads_[load].node);
     const Node& node = nodes_[id];
-    // A keeper that died or sleeps returns nothing.
+    // A dead or paused keeper returns no permit.
     if (node.alive && !node.paused) {
       Return(id, node, load, numbers_[load]);
     }
@@ -294,26 +294,26 @@
   request.model = ModelOf(load);
   request.number = number;
   request.release = true;
-  Launch(id, {Id(node.zone, node.named), std::string(), request});
+  SendMessage(id, {Id(node.zone, node.known_holder), std::string(), request});
 }
 
 void SimulatedPermits::Send(const NodeId& from, const Outbox& outbox) {
   for (const OutgoingMessage& outgoing : outbox.messages) {
-    Launch(from, outgoing);
+    SendMessage(from, outgoing);
   }
 }
 
-void SimulatedPermits::Launch(const NodeId& from, const OutgoingMessage& outgoing) {
+void SimulatedPermits::SendMessage(const NodeId& from, const OutgoingMessage& outgoing) {
   const Node& sender = nodes_[from];
-  Flight flight;
-  flight.to = outgoing.to;
-  flight.envelope.from = from;
-  flight.envelope.from_incarnation = sender.incarnation;
-  flight.envelope.from_zone = ZoneId(absl::StrCat("z", sender.zone));
-  flight.envelope.message = outgoing.message;
+  MessageInFlight message_in_flight;
+  message_in_flight.to = outgoing.to;
+  message_in_flight.envelope.from = from;
+  message_in_flight.envelope.from_incarnation = sender.incarnation;
+  message_in_flight.envelope.from_zone = ZoneId(absl::StrCat("z", sender.zone));
+  message_in_flight.envelope.message = outgoing.message;
   if (outgoing.to == from) {
-    // A node's messages to itself are not lost, but pass through the queue too.
-    flights_.emplace(now_, std::move(flight));
+    // A node's messages to itself are never lost, but pass through the queue too.
+    in_flight_.emplace(now_, std::move(message_in_flight));
     return;
   }
   if (!Passes(sender, nodes_[outgoing.to])) {
@@ -326,7 +326,8 @@
     const bool late = random_.Fraction() < options_.late;
     const absl::Duration lateness =
         late ? options_.most_late * random_.Fraction() : absl::ZeroDuration();
-    flights_.emplace(now_ + options_.least_delay + range * random_.Fraction() + lateness, flight);
+    in_flight_.emplace(now_ + options_.least_delay + range * random_.Fraction() + lateness,
+                       message_in_flight);
   }
 }
 
--- a/tests/simulation/simulated_permits.h
+++ b/tests/simulation/simulated_permits.h
@@ -1,5 +1,5 @@
-// Permit holders of several zones before simulated keepers, in virtual time: nodes with clocks of
-// their own, and a network that loses, doubles and delays messages and can cut a zone off.
+// Simulation of permit holders in several zones with simulated keepers, in virtual time: each node
+// has its own clock, and the network loses, duplicates and delays messages and can isolate a zone.
 #ifndef TESTS_SIMULATION_SIMULATED_PERMITS_H_
 #define TESTS_SIMULATION_SIMULATED_PERMITS_H_
 
@@ -24,12 +24,12 @@
   absl::Duration permit_use_within = absl::Seconds(5);
   absl::Duration least_delay = absl::Milliseconds(1);
   absl::Duration most_delay = absl::Milliseconds(4);
-  // The part of messages that are late, by up to `most_late`.
+  // Fraction of messages that are late, by up to `most_late`.
   double late = 0.0;
   absl::Duration most_late = absl::Milliseconds(1500);
   double lost = 0.0;
   double doubled = 0.0;
-  // Clocks differ in rate by up to this part.
+  // Highest relative error of a clock's rate.
   double drift = 0.0;
   std::uint64_t seed = 1;
 };
@@ -49,11 +49,11 @@
   explicit SimulatedPermits(SimulatedPermitsOptions options);
 
   absl::Time now() const { return now_; }
-  // Time passes by 10 ms.
+  // Advances the time by 10 ms.
   void Step();
   void Run(absl::Duration duration);
 
-  // A load waits for a permit of its node's zone; returns its number.
+  // Adds a load that waits for a permit of its node's zone; returns its index in loads().
   std::size_t Want(int zone, int node, absl::Duration duration, absl::Duration time_left);
   const std::vector<PermitLoad>& loads() const { return loads_; }
   int running() const { return running_; }
@@ -61,18 +61,18 @@
   int most_begun_in_a_second() const;
   bool AllEnded() const;
 
-  // A killed node starts anew, without memory, when it is started.
+  // A killed node loses its state; Start() starts it as a new incarnation.
   void Kill(int zone, int node);
   void Start(int zone, int node);
   void SetPaused(int zone, int node, bool paused);
-  // Cut off from all other zones.
+  // Isolates the zone from all others, or ends the isolation.
   void SetCut(int zone, bool cut);
-  // Whom the nodes of the zone name as holder; a false view when nodes disagree.
+  // Sets the node that the nodes of the zone regard as the holder; their views may differ.
   void NameHolder(int zone, int holder);
   void NameHolder(int zone, int node, int holder);
-  int holder(int zone) const { return nodes_.at(Id(zone, 0)).named; }
+  int holder(int zone) const { return nodes_.at(Id(zone, 0)).known_holder; }
 
-  // By the node's own clock.
+  // Uses the node's own clock.
   bool has_zone_slots(int zone, int node) const {
     const Node& asked = nodes_.at(Id(zone, node));
     return asked.permits->has_zone_slots(ClockOf(asked));
@@ -86,27 +86,27 @@
   }
 
  private:
-  // What a simulated keeper knows of a load that has not begun.
-  struct Wish {
+  // State that a simulated keeper has of a load that has not begun.
+  struct PendingLoad {
     std::uint64_t number = 0;
-    absl::Time asked_at;
-    absl::Time next_ask = absl::InfinitePast();
+    absl::Time requested_at;
+    absl::Time next_request_at = absl::InfinitePast();
   };
   struct Node {
     int zone = 0;
     bool alive = true;
     bool paused = false;
-    int named = 0;
+    int known_holder = 0;
     absl::Duration offset;
     double rate = 1.0;
     NodeIncarnation incarnation = NodeIncarnation(1);
     std::unique_ptr<PermitHolder> permits;
     std::vector<NodeId> peers;
     ZoneNodes other_zones;
-    std::map<std::size_t, Wish> wishes;
+    std::map<std::size_t, PendingLoad> pending_loads;
     std::uint64_t next_number = 1;
   };
-  struct Flight {
+  struct MessageInFlight {
     NodeId to;
     Envelope envelope;
   };
@@ -116,22 +116,22 @@
   void MakePermits(const NodeId& id, Node* node);
   void Deliver();
   void Receive(const NodeId& id, Node* node, const Envelope& envelope);
-  void PassOn(const Node& node, const PermitLoanRequest& request, Outbox* outbox) const;
+  void ForwardLoanRequest(const Node& node, const PermitLoanRequest& request, Outbox* outbox) const;
   void OnReply(const NodeId& id, Node* node, const PermitReply& reply);
   void TickNode(const NodeId& id, Node* node);
-  void AskPermits(const NodeId& id, Node* node);
-  void GiveUp(const NodeId& id, Node* node);
+  void RequestPermits(const NodeId& id, Node* node);
+  void AbandonExpiredLoads(const NodeId& id, Node* node);
   void EndLoads();
   void Return(const NodeId& id, const Node& node, std::size_t load, std::uint64_t number);
   void Send(const NodeId& from, const Outbox& outbox);
-  void Launch(const NodeId& from, const OutgoingMessage& outgoing);
+  void SendMessage(const NodeId& from, const OutgoingMessage& outgoing);
   bool Passes(const Node& from, const Node& to) const;
 
   SimulatedPermitsOptions options_;
   Random random_;
   absl::Time now_ = absl::UnixEpoch() + absl::Hours(1000);
   std::map<NodeId, Node> nodes_;
-  std::multimap<absl::Time, Flight> flights_;
+  std::multimap<absl::Time, MessageInFlight> in_flight_;
   std::set<int> cut_;
   std::vector<PermitLoad> loads_;
   std::multimap<absl::Time, std::size_t> ends_;
