--- a/tests/rapidcheck_seed.h
+++ b/tests/rapidcheck_seed.h
@@ -7,8 +7,8 @@
 
 namespace hingespan {
 
-// Sets the parameters in the environment when none are there, and prints them. RapidCheck reads
-// them at its first property, so this comes before.
+// Sets RC_PARAMS unless the environment has it, and prints it. It must run before the first
+// property, at which RapidCheck reads the variable.
 inline bool UseFixedRapidCheckSeed() {
   constexpr int kKeepExisting = 0;
   setenv("RC_PARAMS", "seed=20261202", kKeepExisting);
--- a/tests/spec/spec_actions_test.cc
+++ b/tests/spec/spec_actions_test.cc
@@ -1,5 +1,5 @@
-// The table of spec/README.md: each rule of a model stands in it, and each function that it names
-// says in its comment which action it does ("Spec action: NAME.").
+// Tests the table of spec/README.md: it lists every rule of the models, and the comment of each
+// function in it names the action that the function implements ("Spec action: NAME.").
 #include <doctest/doctest.h>
 
 #include <filesystem>
@@ -18,13 +18,13 @@
 namespace hingespan {
 namespace {
 
-constexpr absl::string_view kTableHead = "| Action | Model | Function |";
+constexpr absl::string_view kTableHeader = "| Action | Model | Function |";
 constexpr absl::string_view kMark = "Spec action";
 
 struct TableRow {
   std::vector<std::string> actions;
   std::vector<std::string> models;
-  // "Class::Function", or "Function".
+  // Each is "Class::Function" or "Function".
   std::vector<std::string> functions;
 };
 
@@ -33,13 +33,13 @@
   std::vector<std::string> lines;
 };
 
-std::vector<std::string> LinesOf(const std::string& path) {
+std::vector<std::string> ReadLines(const std::string& path) {
   const Result<std::string> text = ReadTextFile(path);
   REQUIRE(text.ok());
   return absl::StrSplit(*text, '\n');
 }
 
-std::vector<std::string> WordsOf(absl::string_view cell) {
+std::vector<std::string> SplitWords(absl::string_view cell) {
   std::vector<std::string> words;
   for (const absl::string_view word : absl::StrSplit(cell, ',')) {
     words.emplace_back(absl::StripAsciiWhitespace(word));
@@ -47,8 +47,8 @@
   return words;
 }
 
-// The texts between backticks.
-std::vector<std::string> CodeOf(absl::string_view cell) {
+// Returns the texts between backticks.
+std::vector<std::string> ParseCodeSpans(absl::string_view cell) {
   const std::vector<std::string> pieces = absl::StrSplit(cell, '`');
   std::vector<std::string> code;
   for (std::size_t piece = 1; piece < pieces.size(); piece += 2) {
@@ -61,8 +61,8 @@
   std::vector<TableRow> rows;
   bool in_table = false;
   for (const std::string& line :
-       LinesOf(absl::StrCat(HINGESPAN_SOURCE_DIRECTORY, "/spec/README.md"))) {
-    if (line == kTableHead) {
+       ReadLines(absl::StrCat(HINGESPAN_SOURCE_DIRECTORY, "/spec/README.md"))) {
+    if (line == kTableHeader) {
       in_table = true;
       continue;
     }
@@ -73,7 +73,7 @@
     if (cells.size() < 4) {
       break;
     }
-    rows.push_back({WordsOf(cells[1]), WordsOf(cells[2]), CodeOf(cells[3])});
+    rows.push_back({SplitWords(cells[1]), SplitWords(cells[2]), ParseCodeSpans(cells[3])});
   }
   return rows;
 }
@@ -85,7 +85,7 @@
     for (const auto& entry : std::filesystem::recursive_directory_iterator(root)) {
       const std::string path = entry.path().string();
       if (absl::EndsWith(path, ".h") || absl::EndsWith(path, ".cc")) {
-        files.push_back({path, LinesOf(path)});
+        files.push_back({path, ReadLines(path)});
       }
     }
   }
@@ -94,7 +94,7 @@
 
 bool IsWord(char letter) { return absl::ascii_isalnum(letter) || letter == '_'; }
 
-bool HoldsWord(absl::string_view text, absl::string_view word) {
+bool ContainsWord(absl::string_view text, absl::string_view word) {
   for (std::size_t at = text.find(word); at != absl::string_view::npos;
        at = text.find(word, at + 1)) {
     const bool begins = at == 0 || !IsWord(text[at - 1]);
@@ -106,7 +106,7 @@
   return false;
 }
 
-// The comment that ends right above the line.
+// Returns the comment that ends directly above the line.
 std::string CommentAbove(const std::vector<std::string>& lines, std::size_t line) {
   std::vector<absl::string_view> comment;
   while (line > 0) {
@@ -120,7 +120,7 @@
   return absl::StrJoin(comment, " ");
 }
 
-// What the comments of the function say from their mark on; empty where there is none.
+// Returns the comments of the function from the mark on; empty if none has the mark.
 std::string ActionsNamedBy(const std::vector<SourceFile>& files, const std::string& function) {
   const std::vector<std::string> parts = absl::StrSplit(function, "::");
   const std::string call = absl::StrCat(parts.back(), "(");
@@ -131,7 +131,7 @@
       const std::string& text = file.lines[line];
       in_class = in_class || absl::StrContains(text, absl::StrCat("class ", parts.front(), " "));
       const bool defined_here = absl::StrContains(text, absl::StrCat(function, "("));
-      if (!defined_here && !(in_class && HoldsWord(text, parts.back()))) {
+      if (!defined_here && !(in_class && ContainsWord(text, parts.back()))) {
         continue;
       }
       const std::string comment = CommentAbove(file.lines, line);
@@ -144,11 +144,11 @@
   return named;
 }
 
-// The first words of the names of a model's rules.
-std::set<std::string> RulesOf(const std::string& model) {
+// Returns the first word of the name of each rule of a model.
+std::set<std::string> ReadRules(const std::string& model) {
   std::set<std::string> rules;
   const std::string path = absl::StrCat(HINGESPAN_SOURCE_DIRECTORY, "/spec/", model, ".m");
-  for (const std::string& line : LinesOf(path)) {
+  for (const std::string& line : ReadLines(path)) {
     const absl::string_view text = absl::StripAsciiWhitespace(line);
     if (absl::StartsWith(text, "rule \"")) {
       const std::vector<std::string> quoted = absl::StrSplit(text, '"');
@@ -168,7 +168,7 @@
       const std::string named = ActionsNamedBy(files, function);
       bool names_one = false;
       for (const std::string& action : row.actions) {
-        if (HoldsWord(named, action)) {
+        if (ContainsWord(named, action)) {
           names_one = true;
           unnamed.erase(action);
         }
@@ -199,7 +199,7 @@
         }
       }
     }
-    const std::set<std::string> rules = RulesOf(model);
+    const std::set<std::string> rules = ReadRules(model);
     REQUIRE(!rules.empty());
     for (const std::string& rule : rules) {
       INFO("rule ", rule, " of ", model);
