--- a/tests/simulation/simulated_fleet.h
+++ b/tests/simulation/simulated_fleet.h
@@ -115,8 +115,8 @@
 
   // Writes rows as an operator; `rows_per_transaction` share a revision.
   void WriteRows(const std::vector<ModelRow>& rows, int rows_per_transaction = 1);
-  // Submits a caller's request to a node; it ends by itself. A request without an id gets one. Answers have
-  // `maximum_tokens` tokens if engines pace requests.
+  // Submits a caller's request to a node; it ends by itself. A request without an id gets one.
+  // Answers have `maximum_tokens` tokens if engines pace requests.
   void Submit(const NodeId& node, RouteRequest request, int maximum_tokens = 4);
   // Schedules `run` at a future time, between the events of the simulation.
   void At(absl::Time when, std::function<void()> run);
