--- a/tests/placement/permit_sharing_test.cc
+++ b/tests/placement/permit_sharing_test.cc
@@ -51,9 +51,9 @@
       return cluster->SetCut(zone, random->Below(3) == 0);
     case 5:
       // The nodes disagree about the holder.
-      return cluster->NameHolder(zone, node, static_cast<int>(random->Below(kNodes)));
+      return cluster->SetHolder(zone, node, static_cast<int>(random->Below(kNodes)));
     case 6:
-      return cluster->NameHolder(zone, static_cast<int>(random->Below(kNodes)));
+      return cluster->SetHolder(zone, static_cast<int>(random->Below(kNodes)));
     default:
       return cluster->SetPaused(zone, node, false);
   }
@@ -66,9 +66,9 @@
 
 Outcome RunRandom(SimulatedPermitsOptions options, std::uint64_t seed) {
   options.seed = seed;
-  options.lost = 0.1;
-  options.doubled = 0.1;
-  options.late = 0.1;
+  options.loss = 0.1;
+  options.duplication = 0.1;
+  options.late_share = 0.1;
   options.drift = 0.01;
   SimulatedPermits cluster(options);
   Random random(seed ^ 0x5eed);
@@ -77,9 +77,9 @@
     if (random.Below(kStepsPerLoad) == 0) {
       // In alternating periods only one zone requests loads.
       const int zones = step / 2000 % 2 == 0 ? kZones : 1;
-      cluster.Want(static_cast<int>(random.Below(zones)), static_cast<int>(random.Below(kNodes)),
-                   absl::Milliseconds(4000 + random.Below(6000)),
-                   absl::Milliseconds(random.Below(20'000)));
+      cluster.AddLoad(static_cast<int>(random.Below(zones)), static_cast<int>(random.Below(kNodes)),
+                      absl::Milliseconds(4000 + random.Below(6000)),
+                      absl::Milliseconds(random.Below(20'000)));
     }
     if (random.Below(kStepsPerFault) == 0) {
       InjectFault(&cluster, &random);
@@ -87,7 +87,7 @@
     cluster.Step();
   }
   Outcome outcome;
-  outcome.most_running = cluster.most_running();
+  outcome.most_running = cluster.max_running();
   for (const PermitLoad& load : cluster.loads()) {
     outcome.ended += load.ended <= cluster.now() ? 1 : 0;
   }
@@ -97,7 +97,7 @@
 // Requests `loads` loads in zone 0 that run long enough to need more than the zone's share.
 void Burst(SimulatedPermits* cluster, int loads) {
   for (int load = 0; load < loads; ++load) {
-    cluster->Want(0, load % kNodes, absl::Seconds(8), absl::Seconds(60));
+    cluster->AddLoad(0, load % kNodes, absl::Seconds(8), absl::Seconds(60));
   }
 }
 
@@ -128,10 +128,10 @@
   cluster.SetCut(0, true);
   cluster.Run(SettleTime(options.permits));
   for (int load = 0; load < 12; ++load) {
-    cluster.Want(1 + load % 2, load % kNodes, absl::Seconds(8), absl::Seconds(60));
+    cluster.AddLoad(1 + load % 2, load % kNodes, absl::Seconds(8), absl::Seconds(60));
   }
   cluster.Run(absl::Seconds(20));
-  return cluster.most_running();
+  return cluster.max_running();
 }
 
 TEST_CASE("the budget is exceeded if leases do not expire") {
@@ -157,13 +157,13 @@
   cluster.Run(absl::Seconds(7));
   CHECK(cluster.running() == 8);
   // More urgent loads of another zone come first, although the burst still waits.
-  const std::size_t urgent = cluster.Want(1, 0, absl::Seconds(1), absl::Seconds(3));
+  const std::size_t urgent = cluster.AddLoad(1, 0, absl::Seconds(1), absl::Seconds(3));
   cluster.Run(absl::Seconds(4));
   CHECK(cluster.loads()[urgent].began < cluster.now());
   cluster.Run(absl::Seconds(60));
   CHECK(cluster.AllEnded());
   CHECK(cluster.borrowed(0, cluster.holder(0)) == 0);
-  CHECK(cluster.most_running() == 8);
+  CHECK(cluster.max_running() == 8);
 }
 
 TEST_CASE("without lending each zone uses only its own share") {
@@ -173,7 +173,7 @@
   cluster.Run(StartTime(options));
   Burst(&cluster, 16);
   cluster.Run(absl::Seconds(60));
-  CHECK(cluster.most_running() == 3);
+  CHECK(cluster.max_running() == 3);
 }
 
 TEST_CASE("a partitioned zone continues with its own share, and so do the others") {
@@ -183,7 +183,7 @@
   cluster.SetCut(0, true);
   Burst(&cluster, 6);
   for (int load = 0; load < 6; ++load) {
-    cluster.Want(1, load % kNodes, absl::Seconds(8), absl::Seconds(60));
+    cluster.AddLoad(1, load % kNodes, absl::Seconds(8), absl::Seconds(60));
   }
   cluster.Run(absl::Seconds(7));
   CHECK(cluster.permits(0, 0).granted_count() == 3);
@@ -196,8 +196,8 @@
   SimulatedPermits cluster(options);
   cluster.Run(StartTime(options));
   cluster.Kill(0, 0);
-  cluster.NameHolder(0, 1);
-  cluster.Want(0, 1, absl::Seconds(1), absl::Seconds(30));
+  cluster.SetHolder(0, 1);
+  cluster.AddLoad(0, 1, absl::Seconds(1), absl::Seconds(30));
   cluster.Run(options.permits.lease);
   CHECK(cluster.loads()[0].began < cluster.now());
   // The zone gets its own share back after the settle time.
--- a/tests/simulation/simulated_permits.cc
+++ b/tests/simulation/simulated_permits.cc
@@ -81,8 +81,8 @@
   }
 }
 
-std::size_t SimulatedPermits::Want(int zone, int node, absl::Duration duration,
-                                   absl::Duration time_left) {
+std::size_t SimulatedPermits::AddLoad(int zone, int node, absl::Duration duration,
+                                      absl::Duration time_left) {
   PermitLoad load;
   load.zone = zone;
   load.node = node;
@@ -93,7 +93,7 @@
   return loads_.size() - 1;
 }
 
-int SimulatedPermits::most_begun_in_a_second() const {
+int SimulatedPermits::max_begun_per_second() const {
   std::vector<absl::Time> begins;
   for (const PermitLoad& load : loads_) {
     if (load.began != absl::InfiniteFuture()) {
@@ -143,13 +143,13 @@
   }
 }
 
-void SimulatedPermits::NameHolder(int zone, int holder) {
+void SimulatedPermits::SetHolder(int zone, int holder) {
   for (int node = 0; node < options_.nodes_per_zone; ++node) {
-    NameHolder(zone, node, holder);
+    SetHolder(zone, node, holder);
   }
 }
 
-void SimulatedPermits::NameHolder(int zone, int node, int holder) {
+void SimulatedPermits::SetHolder(int zone, int node, int holder) {
   nodes_[Id(zone, node)].known_holder = holder;
 }
 
@@ -222,7 +222,7 @@
   numbers_[load] = reply.number;
   loads_[load].began = now_;
   ends_.emplace(now_ + loads_[load].duration, load);
-  most_running_ = std::max(most_running_, ++running_);
+  max_running_ = std::max(max_running_, ++running_);
   node->pending_loads.erase(pending);
 }
 
@@ -319,14 +319,14 @@
   if (!Passes(sender, nodes_[outgoing.to])) {
     return;
   }
-  const int copies = (random_.Fraction() >= options_.lost ? 1 : 0) +
-                     (random_.Fraction() < options_.doubled ? 1 : 0);
-  const absl::Duration range = options_.most_delay - options_.least_delay;
+  const int copies = (random_.Fraction() >= options_.loss ? 1 : 0) +
+                     (random_.Fraction() < options_.duplication ? 1 : 0);
+  const absl::Duration range = options_.max_delay - options_.min_delay;
   for (int copy = 0; copy < copies; ++copy) {
-    const bool late = random_.Fraction() < options_.late;
+    const bool late = random_.Fraction() < options_.late_share;
     const absl::Duration lateness =
-        late ? options_.most_late * random_.Fraction() : absl::ZeroDuration();
-    in_flight_.emplace(now_ + options_.least_delay + range * random_.Fraction() + lateness,
+        late ? options_.max_lateness * random_.Fraction() : absl::ZeroDuration();
+    in_flight_.emplace(now_ + options_.min_delay + range * random_.Fraction() + lateness,
                        message_in_flight);
   }
 }
--- a/tests/simulation/simulated_permits.h
+++ b/tests/simulation/simulated_permits.h
@@ -22,13 +22,13 @@
   PermitOptions permits;
   absl::Duration permit_retry = absl::Milliseconds(300);
   absl::Duration permit_use_within = absl::Seconds(5);
-  absl::Duration least_delay = absl::Milliseconds(1);
-  absl::Duration most_delay = absl::Milliseconds(4);
-  // Fraction of messages that are late, by up to `most_late`.
-  double late = 0.0;
-  absl::Duration most_late = absl::Milliseconds(1500);
-  double lost = 0.0;
-  double doubled = 0.0;
+  absl::Duration min_delay = absl::Milliseconds(1);
+  absl::Duration max_delay = absl::Milliseconds(4);
+  // Fraction of messages that are late, by up to `max_lateness`.
+  double late_share = 0.0;
+  absl::Duration max_lateness = absl::Milliseconds(1500);
+  double loss = 0.0;
+  double duplication = 0.0;
   // Highest relative error of a clock's rate.
   double drift = 0.0;
   std::uint64_t seed = 1;
@@ -54,11 +54,11 @@
   void Run(absl::Duration duration);
 
   // Adds a load that waits for a permit of its node's zone; returns its index in loads().
-  std::size_t Want(int zone, int node, absl::Duration duration, absl::Duration time_left);
+  std::size_t AddLoad(int zone, int node, absl::Duration duration, absl::Duration time_left);
   const std::vector<PermitLoad>& loads() const { return loads_; }
   int running() const { return running_; }
-  int most_running() const { return most_running_; }
-  int most_begun_in_a_second() const;
+  int max_running() const { return max_running_; }
+  int max_begun_per_second() const;
   bool AllEnded() const;
 
   // A killed node loses its state; Start() starts it as a new incarnation.
@@ -68,8 +68,8 @@
   // Isolates the zone from all others, or ends the isolation.
   void SetCut(int zone, bool cut);
   // Sets the node that the nodes of the zone regard as the holder; their views may differ.
-  void NameHolder(int zone, int holder);
-  void NameHolder(int zone, int node, int holder);
+  void SetHolder(int zone, int holder);
+  void SetHolder(int zone, int node, int holder);
   int holder(int zone) const { return nodes_.at(Id(zone, 0)).known_holder; }
 
   // Uses the node's own clock.
@@ -137,7 +137,7 @@
   std::multimap<absl::Time, std::size_t> ends_;
   std::map<std::size_t, std::uint64_t> numbers_;
   int running_ = 0;
-  int most_running_ = 0;
+  int max_running_ = 0;
 };
 
 }  // namespace hingespan::simulation
