--- a/include/hingespan/node/bearer_key.h
+++ b/include/hingespan/node/bearer_key.h
@@ -6,8 +6,8 @@
 
 namespace hingespan {
 
-// Returns true if `key` is empty (no key is required) or the header carries it. The comparison takes
-// the same time wherever the first difference is.
+// Returns true if `key` is empty (no key is required) or the header carries it. The comparison
+// takes the same time wherever the first difference is.
 bool HasBearerKey(std::string_view authorization, std::string_view key);
 
 }  // namespace hingespan
--- a/src/node/caller_request.cc
+++ b/src/node/caller_request.cc
@@ -20,10 +20,10 @@
 constexpr std::size_t kMaximumRequestIdBytes = 200;
 constexpr std::int64_t kMaximumTimeoutMs = 24 * 60 * 60 * 1000;
 constexpr int kMaximumPriority = 10;
-// Maximum length of a JSON parser message that is passed on, because the message may quote the
-// body.
+// Maximum number of bytes of a JSON parser message that are passed on, because the message may
+// quote the body.
 constexpr std::size_t kMaximumReason = 200;
-// Length of the prompt prefix that is hashed to select a replica.
+// Number of bytes of the prompt that are hashed to select a replica.
 constexpr std::size_t kPrefixBytes = 512;
 
 // Describes why a text is not valid JSON, and at which byte.
--- a/src/node/claim_ranges.cc
+++ b/src/node/claim_ranges.cc
@@ -7,7 +7,7 @@
 namespace hingespan {
 namespace {
 
-// A range of another zone is taken over when less than this fraction of the ownership time remains.
+// A range of another zone is taken over when less than the time ahead divided by this remains.
 constexpr int kTakeOverDivisor = 4;
 // Time that a node must have run before it takes over ranges of other zones.
 constexpr absl::Duration kTakeOverAfter = absl::Seconds(10);
