--- a/include/hingespan/table/compact_records.h
+++ b/include/hingespan/table/compact_records.h
@@ -1,5 +1,5 @@
-// Rows and grants of all models in encoded form, one buffer a model. A replica of the whole log
-// holds tens of thousands of them, and few are asked for.
+// Encoded rows and grants of all models, in one buffer per model. A replica of the whole log holds
+// tens of thousands of them, and few are read.
 #ifndef HINGESPAN_TABLE_COMPACT_RECORDS_H_
 #define HINGESPAN_TABLE_COMPACT_RECORDS_H_
 
@@ -18,12 +18,12 @@
 
 namespace hingespan {
 
-// Not thread-safe. Models are numbered from 0 in the order of their arrival; one is never removed,
-// as the revisions of deleted records have to last.
+// Not thread-safe. Models are numbered from 0 in the order in which they are added. They are never
+// removed, as the revisions of deleted records must be kept.
 class CompactRecords {
  public:
   CompactRecords();
-  // The index of names points into this object.
+  // Not copyable, as the index of names points into this object.
   CompactRecords(const CompactRecords&) = delete;
   CompactRecords& operator=(const CompactRecords&) = delete;
 
@@ -32,26 +32,27 @@
   std::uint32_t size() const { return static_cast<std::uint32_t>(models_.size()); }
   std::string_view Name(std::uint32_t model) const;
 
-  // Null deletes.
+  // Both setters delete the record if the pointer is null.
   void SetRow(std::uint32_t model, TableRevision revision, const ModelRow* row);
   void SetGrant(std::uint32_t model, TableRevision revision, const GrantRecord* grant);
-  // Revision of the latest write, also of a deletion; 0 when there was none.
+  // Both return the revision of the latest write or deletion; 0 if there was none.
   TableRevision RowRevision(std::uint32_t model) const { return models_[model].row_revision; }
   TableRevision GrantRevision(std::uint32_t model) const { return models_[model].grant_revision; }
   bool HasRow(std::uint32_t model) const;
   bool HasGrant(std::uint32_t model) const;
-  // Sets every field of the record; false, with nothing set, when absent.
+  // Both set every field of the record; they return false and set nothing if it is absent.
   bool ReadRow(std::uint32_t model, ModelRow* row) const;
   bool ReadGrant(std::uint32_t model, GrantRecord* grant) const;
 
-  // Bytes held, without the allocator's own.
+  // Returns the number of bytes held, without allocator overhead.
   std::size_t HeldBytes() const;
 
  private:
   struct Model {
     TableRevision row_revision;
     TableRevision grant_revision;
-    // Sizes of the three parts, then the parts: name, row, grant. An absent record has size 0.
+    // Sizes of the three parts, followed by the parts: name, row, grant. An absent record has size
+    // 0.
     std::unique_ptr<char[]> bytes;
   };
   struct Parts {
@@ -61,7 +62,7 @@
   };
   using Models = std::deque<Model>;
 
-  // Names are hashed and compared where they stand in the buffers.
+  // Names are hashed and compared in place in the buffers.
   struct NameHash {
     using is_transparent = void;
     const Models* models;
--- a/include/hingespan/table/record_codec.h
+++ b/include/hingespan/table/record_codec.h
@@ -1,4 +1,4 @@
-// JSON form of the records, as the platform's table service keeps them.
+// JSON encoding of records, as stored by the platform's table service.
 #ifndef HINGESPAN_TABLE_RECORD_CODEC_H_
 #define HINGESPAN_TABLE_RECORD_CODEC_H_
 
@@ -11,9 +11,10 @@
 
 namespace hingespan {
 
-// Compact JSON text of a record's value.
+// Returns the record's value as compact JSON text.
 std::string EncodeRecord(const Record& record);
-// The record under `key`, from its JSON text. kMalformed when the text does not fit the key's kind.
+// Decodes the JSON text of the record stored under `key`. Returns kMalformed if the text does not
+// match the key or its kind.
 Result<Record> DecodeRecord(std::string_view key, std::string_view text);
 
 nlohmann::json RowToJson(const ModelRow& row);
--- a/include/hingespan/table/records.h
+++ b/include/hingespan/table/records.h
@@ -1,5 +1,5 @@
-// Typed records that last: they live in the platform's table service and every node holds a
-// replica of them. One record a key:
+// Persistent typed records. They are stored in the platform's table service, and every node holds a
+// replica of them. There is one record per key:
 //   rows/<model>     ModelRow          written by operators
 //   grants/<model>   GrantRecord       written by placers
 //   claims/<range>   ClaimRangeRecord  written by owners of key ranges
@@ -20,31 +20,33 @@
 
 enum class RowKind { kModel, kAdapter, kVersion };
 
-// A row of the operators' table.
+// Row of the table that operators edit.
 struct ModelRow {
   ModelName name;
   RowKind kind = RowKind::kModel;
-  // The row this one needs on the same worker (adapters), or belongs to (versions); else empty.
+  // For adapters: the row that must be loaded on the same worker. For versions: the row that this
+  // one belongs to. Otherwise empty.
   ModelName base;
   // Name in the weight store; empty means the row's own name.
   std::string checkpoint;
   // Accelerator memory of one replica, in MiB.
   std::uint32_t memory_mib = 0;
-  // Upper limit of replicas over all zones; 0 refuses every request.
+  // Maximum number of replicas across all zones; 0 rejects every request.
   std::uint32_t max_replicas = 1;
-  // Replicas kept loaded although idle, over all zones.
+  // Number of replicas kept loaded while idle, across all zones.
   std::uint32_t min_replicas = 0;
-  // Longest wait of a request, in milliseconds, where the caller names no shorter one.
+  // Maximum wait of a request in milliseconds, unless the caller specifies a shorter one.
   std::uint32_t max_wait_ms = 30000;
-  // Requests waiting at one node at most.
+  // Maximum number of requests waiting at one node.
   std::uint32_t max_queue = 64;
-  // Requests running at one replica at most.
+  // Maximum number of requests running at one replica.
   std::uint32_t max_concurrency = 8;
-  // Idle time before unloading, in milliseconds; 0 leaves it to the deployment's policy.
+  // Idle time before unloading in milliseconds; 0 uses the deployment's policy.
   std::uint32_t idle_ms = 0;
-  // Share of traffic by zone; a zone not named has weight 0. Empty means all zones alike.
+  // Relative share of traffic by zone; a zone that isn't listed has weight 0. If empty, all zones
+  // have equal weight.
   std::map<ZoneId, std::uint32_t> weights;
-  // The edit that wrote this value, and who made it (for history and retries).
+  // Edit that wrote this value and its author, used for history and retries.
   EditId edit;
   std::string editor;
 
@@ -53,32 +55,35 @@
 
 enum class SlotState { kGranted, kRevoking };
 
-// The right of one incarnation of a worker to hold one replica of a model.
+// Permission for one incarnation of a worker to hold one replica of a model.
 struct GrantSlot {
   WorkerId worker;
   WorkerIncarnation incarnation;
   ZoneId zone;
-  // While granted: fences load orders. While revoking: the larger generation of the unload.
+  // While granted, the generation that fences load orders. While revoking, the larger generation of
+  // the unload order.
   GrantGeneration generation;
   SlotState state = SlotState::kGranted;
 
   friend bool operator==(const GrantSlot&, const GrantSlot&) = default;
 };
 
-// All slots of a model. Invariant: slots.size() <= the row's max_replicas at the time of a grant.
+// All slots of a model. Invariant: when a slot is granted, slots.size() is at most the row's
+// max_replicas.
 struct GrantRecord {
   ModelName model;
-  // The next generation to give; never lowered, also when slots are removed.
+  // Next generation to issue; never decreases, even if slots are removed.
   GrantGeneration next_generation{1};
   std::vector<GrantSlot> slots;
 
   friend bool operator==(const GrantRecord&, const GrantRecord&) = default;
 };
 
-// One incarnation of a node decides, for ever, about keys issued from `from` up to the next
-// segment's `from` (or the record's `until`).
+// Segment of a key range that belongs permanently to one incarnation of a node. That incarnation
+// decides on keys issued from `from_ms` until the next segment's `from_ms`, or until the record's
+// `until_ms` for the last segment.
 struct ClaimSegment {
-  // Milliseconds since 1970 of key time.
+  // Start of the segment, inclusive, as key issue time in milliseconds since 1970.
   std::uint64_t from_ms = 0;
   NodeId owner;
   NodeIncarnation incarnation;
@@ -87,11 +92,11 @@
   friend bool operator==(const ClaimSegment&, const ClaimSegment&) = default;
 };
 
-// Who decides about the keys of one range, by the time at which a key was issued.
+// Owners that decide on the keys of one range, by the time at which a key was issued.
 struct ClaimRangeRecord {
   KeyRangeId range;
   std::vector<ClaimSegment> segments;
-  // End of the last segment, exclusive, milliseconds since 1970.
+  // End of the last segment, exclusive, in milliseconds since 1970.
   std::uint64_t until_ms = 0;
 
   friend bool operator==(const ClaimRangeRecord&, const ClaimRangeRecord&) = default;
@@ -99,7 +104,7 @@
 
 using Record = std::variant<ModelRow, GrantRecord, ClaimRangeRecord>;
 
-// One change of one key; `record` is empty when the key was deleted.
+// Change of one key; `record` is empty if the key was deleted.
 struct RecordChange {
   std::string key;
   TableRevision revision;
@@ -111,9 +116,10 @@
 inline constexpr char kRowPrefix[] = "rows/";
 inline constexpr char kGrantPrefix[] = "grants/";
 inline constexpr char kClaimPrefix[] = "claims/";
-// Claims of keys that carry no time: written and read in the platform only, never replicated.
+// Prefix of claims on keys without an issue time. Written and read only in the platform, never
+// replicated.
 inline constexpr char kKeyPrefix[] = "keys/";
-// Ids of operators' edits that took effect: written and read in the platform only, never
+// Prefix of ids of operators' edits that took effect. Written and read only in the platform, never
 // replicated.
 inline constexpr char kEditPrefix[] = "edits/";
 
--- a/include/hingespan/table/string_pool.h
+++ b/include/hingespan/table/string_pool.h
@@ -1,4 +1,4 @@
-// Texts that many records share (zones, workers, bases), held once each.
+// Reference-counted storage of strings that many records share, such as zones, workers and bases.
 #ifndef HINGESPAN_TABLE_STRING_POOL_H_
 #define HINGESPAN_TABLE_STRING_POOL_H_
 
@@ -13,18 +13,18 @@
 
 namespace hingespan {
 
-// Not thread-safe. Each text has a number as long as it is in use.
+// Not thread-safe. Each string has a number for as long as it is in use.
 class StringPool {
  public:
-  // The text's number; counts one use.
+  // Adds one reference to the string and returns its number.
   std::uint32_t Acquire(std::string_view text);
-  // Takes one use back. The text is in use; with its last use it is forgotten, and its number may
-  // go to another text.
+  // Drops one reference to the string, which must be in use. After the last reference is dropped,
+  // the string is removed and its number may be reused for another string.
   void Release(std::string_view text);
   const std::string& Text(std::uint32_t number) const { return slots_[number].text; }
 
   std::size_t size() const { return numbers_.size(); }
-  // Bytes held, without the allocator's own.
+  // Returns the number of bytes held, without allocator overhead.
   std::size_t HeldBytes() const;
 
  private:
@@ -33,7 +33,7 @@
     std::uint32_t uses = 0;
   };
 
-  // A deque, since the keys of `numbers_` point into its texts.
+  // A deque keeps its elements in place, as the keys of `numbers_` point into their texts.
   std::deque<Slot> slots_;
   std::vector<std::uint32_t> free_numbers_;
   absl::flat_hash_map<std::string_view, std::uint32_t> numbers_;
--- a/src/table/compact_codec.cc
+++ b/src/table/compact_codec.cc
@@ -5,11 +5,11 @@
 namespace hingespan {
 namespace {
 
-// The kind stands in the lowest bits of a row's first number; a bit for each field that differs
-// from its default follows, in the order in which they are encoded.
+// The first varint of a row holds the kind in its lowest bits, followed by one bit for each field,
+// in encoding order, that is set if the field differs from its default.
 constexpr unsigned kKindBits = 2;
 constexpr std::uint64_t kKindMask = (1U << kKindBits) - 1;
-// The first field is the base, so that it is found without reading others.
+// Bit of the base, which is the first field so that it can be read without decoding the others.
 constexpr std::uint64_t kHasBase = 1U << kKindBits;
 
 const ModelRow& DefaultRow() {
@@ -18,35 +18,35 @@
 }
 
 void AppendText(std::string_view text, std::string* bytes) {
-  AppendNumber(text.size(), bytes);
+  AppendVarint(text.size(), bytes);
   bytes->append(text);
 }
 
-std::string_view TakeText(const char** bytes) {
-  const std::size_t size = TakeNumber(bytes);
+std::string_view ReadText(const char** bytes) {
+  const std::size_t size = ReadVarint(bytes);
   const std::string_view text(*bytes, size);
   *bytes += size;
   return text;
 }
 
 template <typename Id>
-Id TakePooled(const StringPool& pool, const char** bytes) {
-  return Id(pool.Text(static_cast<std::uint32_t>(TakeNumber(bytes))));
+Id ReadPooled(const StringPool& pool, const char** bytes) {
+  return Id(pool.Text(static_cast<std::uint32_t>(ReadVarint(bytes))));
 }
 
-// The numbers of a row, in their order in the compact form.
-constexpr std::uint32_t ModelRow::*kNumbers[] = {
+// Numeric fields of a row, in encoding order.
+constexpr std::uint32_t ModelRow::*kNumericFields[] = {
     &ModelRow::memory_mib,  &ModelRow::max_replicas, &ModelRow::min_replicas,
     &ModelRow::max_wait_ms, &ModelRow::max_queue,    &ModelRow::max_concurrency,
     &ModelRow::idle_ms,
 };
 
-// Collects the fields that differ from their defaults, and which they are.
+// Collects the encoded fields that differ from their defaults and the bits that mark them.
 class RowWriter {
  public:
   explicit RowWriter(RowKind kind) : present_(static_cast<std::uint64_t>(kind)) {}
 
-  // The next field; whether it is to be written.
+  // Advances to the next field and returns whether it must be written.
   bool Next(bool differs) {
     present_ |= static_cast<std::uint64_t>(differs) << next_bit_++;
     return differs;
@@ -55,7 +55,7 @@
 
   std::string Finish() const {
     std::string bytes;
-    AppendNumber(present_, &bytes);
+    AppendVarint(present_, &bytes);
     return bytes + fields_;
   }
 
@@ -66,38 +66,38 @@
 };
 
 void AppendWeights(const ModelRow& row, StringPool* pool, std::string* bytes) {
-  AppendNumber(row.weights.size(), bytes);
+  AppendVarint(row.weights.size(), bytes);
   for (const auto& [zone, weight] : row.weights) {
-    AppendNumber(pool->Acquire(zone.value()), bytes);
-    AppendNumber(weight, bytes);
+    AppendVarint(pool->Acquire(zone.value()), bytes);
+    AppendVarint(weight, bytes);
   }
 }
 
-void TakeWeights(const StringPool& pool, const char** bytes, ModelRow* row) {
-  const std::uint64_t count = TakeNumber(bytes);
+void ReadWeights(const StringPool& pool, const char** bytes, ModelRow* row) {
+  const std::uint64_t count = ReadVarint(bytes);
   for (std::uint64_t index = 0; index < count; ++index) {
-    const ZoneId zone = TakePooled<ZoneId>(pool, bytes);
-    row->weights.emplace_hint(row->weights.end(), zone, TakeNumber(bytes));
+    const ZoneId zone = ReadPooled<ZoneId>(pool, bytes);
+    row->weights.emplace_hint(row->weights.end(), zone, ReadVarint(bytes));
   }
 }
 
 }  // namespace
 
-void AppendNumber(std::uint64_t value, std::string* bytes) {
-  while (value >= kNumberGoesOn) {
-    bytes->push_back(static_cast<char>(value | kNumberGoesOn));
-    value >>= kNumberGroupBits;
+void AppendVarint(std::uint64_t value, std::string* bytes) {
+  while (value >= kVarintContinuationBit) {
+    bytes->push_back(static_cast<char>(value | kVarintContinuationBit));
+    value >>= kVarintGroupBits;
   }
   bytes->push_back(static_cast<char>(value));
 }
 
-std::uint64_t TakeLongNumber(const char** bytes) {
+std::uint64_t ReadLongVarint(const char** bytes) {
   std::uint64_t value = 0;
-  for (unsigned shift = 0;; shift += kNumberGroupBits) {
+  for (unsigned shift = 0;; shift += kVarintGroupBits) {
     const auto byte = static_cast<unsigned char>(**bytes);
     ++*bytes;
-    value |= (byte & (kNumberGoesOn - 1)) << shift;
-    if (byte < kNumberGoesOn) {
+    value |= (byte & (kVarintContinuationBit - 1)) << shift;
+    if (byte < kVarintContinuationBit) {
       return value;
     }
   }
@@ -106,11 +106,11 @@
 std::string EncodeCompact(const ModelRow& row, StringPool* pool) {
   RowWriter writer(row.kind);
   if (writer.Next(!row.base.empty())) {
-    AppendNumber(pool->Acquire(row.base.value()), writer.fields());
+    AppendVarint(pool->Acquire(row.base.value()), writer.fields());
   }
-  for (const auto number : kNumbers) {
+  for (const auto number : kNumericFields) {
     if (writer.Next(row.*number != DefaultRow().*number)) {
-      AppendNumber(row.*number, writer.fields());
+      AppendVarint(row.*number, writer.fields());
     }
   }
   if (writer.Next(!row.checkpoint.empty())) {
@@ -123,13 +123,13 @@
     AppendText(row.edit.value(), writer.fields());
   }
   if (writer.Next(!row.editor.empty())) {
-    AppendNumber(pool->Acquire(row.editor), writer.fields());
+    AppendVarint(pool->Acquire(row.editor), writer.fields());
   }
   return writer.Finish();
 }
 
 void DecodeCompact(const char* bytes, const StringPool& pool, ModelRow* row) {
-  std::uint64_t present = TakeNumber(&bytes);
+  std::uint64_t present = ReadVarint(&bytes);
   row->kind = static_cast<RowKind>(present & kKindMask);
   present >>= kKindBits;
   const auto next = [&present] {
@@ -137,17 +137,17 @@
     present >>= 1U;
     return is_present;
   };
-  row->base = next() ? TakePooled<ModelName>(pool, &bytes) : ModelName();
-  for (const auto number : kNumbers) {
-    row->*number = next() ? static_cast<std::uint32_t>(TakeNumber(&bytes)) : DefaultRow().*number;
+  row->base = next() ? ReadPooled<ModelName>(pool, &bytes) : ModelName();
+  for (const auto number : kNumericFields) {
+    row->*number = next() ? static_cast<std::uint32_t>(ReadVarint(&bytes)) : DefaultRow().*number;
   }
-  row->checkpoint = next() ? TakeText(&bytes) : std::string_view();
+  row->checkpoint = next() ? ReadText(&bytes) : std::string_view();
   row->weights.clear();
   if (next()) {
-    TakeWeights(pool, &bytes, row);
+    ReadWeights(pool, &bytes, row);
   }
-  row->edit = next() ? EditId(std::string(TakeText(&bytes))) : EditId();
-  row->editor = next() ? pool.Text(static_cast<std::uint32_t>(TakeNumber(&bytes))) : std::string();
+  row->edit = next() ? EditId(std::string(ReadText(&bytes))) : EditId();
+  row->editor = next() ? pool.Text(static_cast<std::uint32_t>(ReadVarint(&bytes))) : std::string();
 }
 
 void ReleaseTexts(const ModelRow& row, StringPool* pool) {
@@ -164,27 +164,27 @@
 
 std::string EncodeCompact(const GrantRecord& grant, StringPool* pool) {
   std::string bytes;
-  AppendNumber(grant.next_generation.value(), &bytes);
-  AppendNumber(grant.slots.size(), &bytes);
+  AppendVarint(grant.next_generation.value(), &bytes);
+  AppendVarint(grant.slots.size(), &bytes);
   for (const GrantSlot& slot : grant.slots) {
-    AppendNumber(pool->Acquire(slot.worker.value()), &bytes);
-    AppendNumber(slot.incarnation.value(), &bytes);
-    AppendNumber(pool->Acquire(slot.zone.value()), &bytes);
-    AppendNumber(slot.generation.value(), &bytes);
-    AppendNumber(static_cast<std::uint64_t>(slot.state), &bytes);
+    AppendVarint(pool->Acquire(slot.worker.value()), &bytes);
+    AppendVarint(slot.incarnation.value(), &bytes);
+    AppendVarint(pool->Acquire(slot.zone.value()), &bytes);
+    AppendVarint(slot.generation.value(), &bytes);
+    AppendVarint(static_cast<std::uint64_t>(slot.state), &bytes);
   }
   return bytes;
 }
 
 void DecodeCompact(const char* bytes, const StringPool& pool, GrantRecord* grant) {
-  grant->next_generation = GrantGeneration(TakeNumber(&bytes));
-  grant->slots.resize(TakeNumber(&bytes));
+  grant->next_generation = GrantGeneration(ReadVarint(&bytes));
+  grant->slots.resize(ReadVarint(&bytes));
   for (GrantSlot& slot : grant->slots) {
-    slot.worker = TakePooled<WorkerId>(pool, &bytes);
-    slot.incarnation = WorkerIncarnation(TakeNumber(&bytes));
-    slot.zone = TakePooled<ZoneId>(pool, &bytes);
-    slot.generation = GrantGeneration(TakeNumber(&bytes));
-    slot.state = static_cast<SlotState>(TakeNumber(&bytes));
+    slot.worker = ReadPooled<WorkerId>(pool, &bytes);
+    slot.incarnation = WorkerIncarnation(ReadVarint(&bytes));
+    slot.zone = ReadPooled<ZoneId>(pool, &bytes);
+    slot.generation = GrantGeneration(ReadVarint(&bytes));
+    slot.state = static_cast<SlotState>(ReadVarint(&bytes));
   }
 }
 
--- a/src/table/compact_records.cc
+++ b/src/table/compact_records.cc
@@ -9,12 +9,12 @@
 namespace hingespan {
 namespace {
 
-// The sizes of three parts, and the parts.
+// Returns the sizes of the three parts followed by the parts.
 std::string Join(std::string_view name, std::string_view row, std::string_view grant) {
   std::string bytes;
-  AppendNumber(name.size(), &bytes);
-  AppendNumber(row.size(), &bytes);
-  AppendNumber(grant.size(), &bytes);
+  AppendVarint(name.size(), &bytes);
+  AppendVarint(row.size(), &bytes);
+  AppendVarint(grant.size(), &bytes);
   bytes.append(name);
   bytes.append(row);
   bytes.append(grant);
@@ -125,9 +125,9 @@
 
 CompactRecords::Parts CompactRecords::PartsOf(const Model& model) {
   const char* name = model.bytes.get();
-  const std::size_t name_size = TakeNumber(&name);
-  const std::size_t row_size = TakeNumber(&name);
-  const std::size_t grant_size = TakeNumber(&name);
+  const std::size_t name_size = ReadVarint(&name);
+  const std::size_t row_size = ReadVarint(&name);
+  const std::size_t grant_size = ReadVarint(&name);
   const char* const row = name + name_size;
   const char* const grant = row + row_size;
   return {{name, name_size}, {row, row_size}, {grant, grant_size}};
--- a/src/table/record_codec.cc
+++ b/src/table/record_codec.cc
@@ -9,8 +9,8 @@
 
 using Json = nlohmann::json;
 
-// --- Readers: each leaves `value` alone when the field is absent, and returns false when the field
-// has another type or does not fit.
+// --- Readers: each leaves `value` unchanged if the field is absent and returns false if the field
+// has the wrong type or is out of range.
 
 bool ReadText(const Json& json, const char* field, std::string* value) {
   const auto found = json.find(field);
@@ -159,7 +159,7 @@
               {"slots", std::move(slots)}};
 }
 
-// The member that must be an array of records; null when it is not.
+// Returns the member `field` if it is an array, otherwise null.
 const Json* FindArray(const Json& json, const char* field) {
   const auto found = json.find(field);
   return found != json.end() && found->is_array() ? &*found : nullptr;
@@ -168,7 +168,7 @@
 Result<Record> GrantFromJson(const Json& json) {
   GrantRecord grant;
   const Json* slots = FindArray(json, "slots");
-  // A record without its counter would give generations out again.
+  // A record without its counter would issue generations a second time.
   if (slots == nullptr || !json.contains("next_generation") ||
       !ReadName(json, "model", &grant.model) ||
       !ReadCounter(json, "next_generation", &grant.next_generation)) {
@@ -266,7 +266,7 @@
 
 std::string EncodeRecord(const Record& record) {
   const Json json = std::visit(RecordJsonOf{}, record);
-  // Bytes that are not UTF-8 are replaced: names are checked before they get here.
+  // Invalid UTF-8 is replaced rather than rejected, as names are validated before this point.
   return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
--- a/src/table/record_store.cc
+++ b/src/table/record_store.cc
@@ -11,12 +11,12 @@
 namespace hingespan {
 namespace {
 
-// Room for a change's revision and for the frames around its key and record.
+// Allowance for a change's revision and for the framing of its key and record.
 constexpr std::size_t kChangeOverheadBytes = 32;
 
-// Upper estimate of a change's size on the wire: its JSON text names every field, so that it is
-// longer than the positional form that is sent. The codec of messages can't be asked, as it depends
-// on this module.
+// Returns a high estimate of a change's size on the wire. The JSON text names every field, so it is
+// longer than the positional encoding that is sent. The message codec can't be used here, as it
+// depends on this module.
 std::size_t EstimatedSize(const RecordChange& change) {
   const std::size_t frame = change.key.size() + kChangeOverheadBytes;
   if (!change.record) {
@@ -25,7 +25,7 @@
   return frame + EncodeRecord(*change.record).size();
 }
 
-// The number at the end of a claim range's key; nothing for every other key.
+// Returns the number at the end of a claim range's key, or nullopt for any other key.
 std::optional<KeyRangeId> RangeOfKey(absl::string_view key) {
   std::uint64_t number = 0;
   if (!absl::ConsumePrefix(&key, kClaimPrefix) || !absl::SimpleAtoi(key, &number)) {
@@ -34,7 +34,7 @@
   return KeyRangeId(number);
 }
 
-// What follows `prefix` in the key; nothing when the key has another one.
+// Returns the part of the key after `prefix`, or nullopt if the key has another prefix.
 std::optional<std::string_view> AfterPrefix(std::string_view key, std::string_view prefix) {
   if (!key.starts_with(prefix)) {
     return std::nullopt;
@@ -42,26 +42,27 @@
   return key.substr(prefix.size());
 }
 
-// The record kept decoded, or else the one that `read` sets, which is kept from then on.
-template <typename T, typename Kept, typename Read>
-std::shared_ptr<const T> FindDecoded(std::uint32_t model, Kept* kept, const Read& read) {
-  auto& place = (*kept)[model % kept->size()];
-  if (place.record != nullptr && place.model == model) {
-    return place.record;
+// Returns the cached record, or reads it with `read` and caches it. Returns null if it is absent.
+template <typename T, typename Cache, typename Read>
+std::shared_ptr<const T> FindDecoded(std::uint32_t model, Cache* cache, const Read& read) {
+  auto& entry = (*cache)[model % cache->size()];
+  if (entry.record != nullptr && entry.model == model) {
+    return entry.record;
   }
   auto record = std::make_shared<T>();
   if (!read(record.get())) {
     return nullptr;
   }
-  place = {model, std::move(record)};
-  return place.record;
+  entry = {model, std::move(record)};
+  return entry.record;
 }
 
-template <typename Kept>
-void Forget(std::uint32_t model, Kept* kept) {
-  auto& place = (*kept)[model % kept->size()];
-  if (place.model == model) {
-    place.record = nullptr;
+// Removes the record of `model` from the cache.
+template <typename Cache>
+void EvictDecoded(std::uint32_t model, Cache* cache) {
+  auto& entry = (*cache)[model % cache->size()];
+  if (entry.model == model) {
+    entry.record = nullptr;
   }
 }
 
@@ -116,13 +117,13 @@
   row_count_ -= models_.HasRow(model) ? 1 : 0;
   models_.SetRow(model, change.revision, row);
   row_count_ += row != nullptr ? 1 : 0;
-  Forget(model, &decoded_rows_);
+  EvictDecoded(model, &decoded_rows_);
 }
 
 void RecordStore::StoreGrant(std::uint32_t model, const RecordChange& change) {
   const GrantRecord* grant = change.record ? std::get_if<GrantRecord>(&*change.record) : nullptr;
   models_.SetGrant(model, change.revision, grant);
-  Forget(model, &decoded_grants_);
+  EvictDecoded(model, &decoded_grants_);
 }
 
 void RecordStore::StoreOther(std::uint32_t number, const RecordChange& change) {
@@ -228,7 +229,7 @@
   std::vector<RecordChange> page;
   *through = std::max(after, revision_);
   std::size_t size = 0;
-  // Changes of complete revisions in `page`, and the last of these revisions.
+  // Number of changes in `page` that belong to complete revisions, and the last such revision.
   std::size_t complete = 0;
   TableRevision complete_through = after;
   auto position = change_order_.lower_bound(ChangePosition{after.Next(), KeyId{KeyKind::kRow, 0}});
--- a/tests/table/compact_records_test.cc
+++ b/tests/table/compact_records_test.cc
@@ -1,4 +1,4 @@
-// Rows and grants in their encoded form: what goes in comes out, whatever was there before.
+// Tests that encoded rows and grants are read back unchanged, whatever was stored before.
 #include "hingespan/table/compact_records.h"
 
 #include <doctest/doctest.h>
@@ -17,18 +17,18 @@
 namespace hingespan {
 namespace {
 
-TEST_CASE("numbers come back, at every length") {
+TEST_CASE("varints of every length are read back unchanged") {
   CHECK(rc::check("numbers", [](std::uint64_t value) {
     const unsigned shift = *rc::gen::inRange(0U, 64U);
     std::string bytes;
-    AppendNumber(value >> shift, &bytes);
+    AppendVarint(value >> shift, &bytes);
     const char* cursor = bytes.data();
-    RC_ASSERT(TakeNumber(&cursor) == value >> shift);
+    RC_ASSERT(ReadVarint(&cursor) == value >> shift);
     RC_ASSERT(cursor == bytes.data() + bytes.size());
   }));
 }
 
-TEST_CASE("a text is held as long as it is used, and its number is given again") {
+TEST_CASE("a pooled string is kept while in use and its number is reused afterwards") {
   StringPool pool;
   const std::uint32_t first = pool.Acquire("a");
   CHECK(pool.Acquire("a") == first);
@@ -41,7 +41,7 @@
   CHECK(pool.Text(first) == "b");
 }
 
-TEST_CASE("encoded records equal a plain map of them after any writes, and share no lost text") {
+TEST_CASE("encoded records match a plain map after any writes and refer to no released string") {
   CHECK(rc::check("compact records", [] {
     CompactRecords records;
     std::map<std::string, ModelRow> rows;
@@ -71,7 +71,7 @@
     }
     for (std::uint32_t model = 0; model < records.size(); ++model) {
       const std::string name(records.Name(model));
-      // Not fresh, as a visit of all uses one record again.
+      // Prefilled, as ForEachRow and ForEachGrant reuse one record for all reads.
       ModelRow row = RandomRow("other");
       GrantRecord grant = RandomGrant("other");
       RC_ASSERT(records.Find(name) == model);
@@ -83,7 +83,7 @@
   }));
 }
 
-TEST_CASE("a row with its grant takes at most 250 bytes, and no more after many rewrites") {
+TEST_CASE("a row with its grant takes at most 250 bytes, also after repeated rewrites") {
   constexpr std::uint64_t kRows = 5000;
   constexpr std::size_t kBytesPerRow = 250;
   RecordStore store;
--- a/tests/table/random_records.h
+++ b/tests/table/random_records.h
@@ -1,4 +1,4 @@
-// Records for tests: random ones, and ones as a large deployment has them.
+// Records for tests: random ones and ones that are typical of a large deployment.
 #ifndef HINGESPAN_TESTS_TABLE_RANDOM_RECORDS_H_
 #define HINGESPAN_TESTS_TABLE_RANDOM_RECORDS_H_
 
@@ -11,13 +11,13 @@
 
 namespace hingespan {
 
-// One of few, among them the empty one, so that names meet.
+// Returns one of five names, including the empty one, so that names collide.
 inline std::string RandomName() {
   const int number = *rc::gen::inRange(0, 5);
   return std::string(static_cast<std::size_t>(number) * 70, static_cast<char>('a' + number));
 }
 
-// Often the default, often small, sometimes any.
+// Returns the usual value, 0, a value below 100 or any value.
 inline std::uint32_t RandomCount(std::uint32_t usual) {
   const auto any = *rc::gen::arbitrary<std::uint32_t>();
   return *rc::gen::element(usual, std::uint32_t{0}, any % 100, any);
@@ -57,7 +57,7 @@
   return grant;
 }
 
-// An adapter as an operator's edit leaves it.
+// Returns an adapter's row as written by an operator's edit.
 inline ModelRow TypicalRow(const std::string& name, std::uint64_t number) {
   ModelRow row;
   row.name = ModelName(name);
@@ -72,7 +72,7 @@
   return row;
 }
 
-// Two slots, on workers whose incarnations are microseconds since 1970.
+// Returns a grant with two slots on workers whose incarnations are microseconds since 1970.
 inline GrantRecord TypicalGrant(const std::string& name, std::uint64_t number) {
   constexpr std::uint64_t kIncarnation = 1'790'000'000'000'000;
   GrantRecord grant;
--- a/tests/table/record_codec_test.cc
+++ b/tests/table/record_codec_test.cc
@@ -62,13 +62,13 @@
   CHECK(ClaimKey(KeyRangeId(3)) == "claims/3");
 }
 
-TEST_CASE("records of every kind come back unchanged") {
+TEST_CASE("records of every kind round-trip unchanged") {
   CheckRoundTrip("rows/rules-fr", FullRow());
   CheckRoundTrip("grants/rules", FullGrant());
   CheckRoundTrip("claims/12", FullClaim());
 }
 
-TEST_CASE("fields left out of a row keep their defaults") {
+TEST_CASE("omitted fields of a row keep their defaults") {
   const Result<Record> decoded = DecodeRecord("rows/a", R"({"name":"a","memory_mib":5})");
   REQUIRE(decoded.ok());
   ModelRow expected;
@@ -77,7 +77,7 @@
   CHECK(*decoded == Record(expected));
 }
 
-TEST_CASE("text that does not fit its key is malformed") {
+TEST_CASE("text that does not match its key is malformed") {
   CHECK(IsMalformed("rows/a", ""));
   CHECK(IsMalformed("rows/a", "{"));
   CHECK(IsMalformed("rows/a", "[]"));
@@ -87,7 +87,7 @@
   CHECK(IsMalformed("keys/a", R"({"name":"a"})"));
 }
 
-TEST_CASE("fields of a wrong type or range are malformed, never truncated") {
+TEST_CASE("fields of the wrong type or out of range are malformed, never truncated") {
   CHECK(IsMalformed("rows/a", R"({"name":"a","max_replicas":-1})"));
   CHECK(IsMalformed("rows/a", R"({"name":"a","max_replicas":4294967296})"));
   CHECK(IsMalformed("rows/a", R"({"name":"a","max_replicas":1.5})"));
@@ -95,7 +95,7 @@
   CHECK(IsMalformed("rows/a", R"({"name":"a","weights":{"z1":"much"}})"));
 }
 
-TEST_CASE("a grant without its counter is malformed, so no generation is given twice") {
+TEST_CASE("a grant without its counter is malformed, so no generation is issued twice") {
   CHECK(IsMalformed("grants/a", R"({"model":"a","slots":[]})"));
   CHECK(IsMalformed("grants/a", R"({"model":"a","next_generation":2})"));
   CHECK(IsMalformed("grants/a", R"({"model":"a","next_generation":2,"slots":[{"worker":"w"}]})"));
--- a/tests/table/record_store_test.cc
+++ b/tests/table/record_store_test.cc
@@ -30,7 +30,7 @@
   return rows;
 }
 
-TEST_CASE("a store never goes back") {
+TEST_CASE("a store never returns to an earlier revision") {
   RecordStore store;
   REQUIRE(store.Apply(TableRevision(0), TableRevision(5), {RowChange("m", 5, 50)}));
   CHECK(store.Apply(TableRevision(0), TableRevision(3), {RowChange("m", 3, 30)}));
@@ -46,7 +46,7 @@
   CHECK(store.FindRow(ModelName("m")) == nullptr);
 }
 
-TEST_CASE("a late value does not bring a deleted key back") {
+TEST_CASE("a delayed value does not restore a deleted key") {
   RecordStore store;
   REQUIRE(store.Apply(TableRevision(0), TableRevision(2), {Deletion("m", 2)}));
   CHECK(store.Apply(TableRevision(0), TableRevision(1), {RowChange("m", 1, 10)}));
@@ -54,10 +54,10 @@
   CHECK(store.RevisionOf("rows/m") == TableRevision(0));
 }
 
-TEST_CASE("all kinds of records are found, and the listener hears of each key") {
+TEST_CASE("all kinds of records are found and the listener is called for each key") {
   RecordStore store;
-  std::vector<std::string> heard;
-  store.SetListener([&heard](const std::string& key) { heard.push_back(key); });
+  std::vector<std::string> notified_keys;
+  store.SetListener([&notified_keys](const std::string& key) { notified_keys.push_back(key); });
   GrantRecord grant;
   grant.model = ModelName("m");
   ClaimRangeRecord claim;
@@ -67,12 +67,12 @@
                        {ClaimKey(claim.range), TableRevision(1), claim}}));
   CHECK(store.FindGrant(ModelName("m")) != nullptr);
   CHECK(store.FindClaimRange(KeyRangeId(12)) != nullptr);
-  CHECK(heard == std::vector<std::string>{GrantKey(grant.model), ClaimKey(claim.range)});
+  CHECK(notified_keys == std::vector<std::string>{GrantKey(grant.model), ClaimKey(claim.range)});
   TableRevision through;
   CHECK(store.ChangesAfter(TableRevision(0), 10000, &through).size() == 2);
 }
 
-TEST_CASE("a page never splits a revision, also above its limit") {
+TEST_CASE("a page never splits a revision, even if it exceeds the size limit") {
   RecordStore store;
   REQUIRE(store.Apply(TableRevision(0), TableRevision(2),
                       {RowChange("a", 1, 1), RowChange("b", 1, 1), RowChange("c", 2, 1)}));
@@ -84,8 +84,7 @@
   CHECK(through == TableRevision(2));
 }
 
-// --- Paging from a peer that changes meanwhile
-// ----------------------------------------------------
+// --- Paging from a peer that changes concurrently
 
 struct Page {
   TableRevision after;
@@ -93,7 +92,7 @@
   std::vector<RecordChange> changes;
 };
 
-// A commit of one to three keys, among them deletions.
+// Commits writes or deletions of one to three keys.
 void RandomCommit(RecordStore* peer) {
   const TableRevision revision = peer->revision().Next();
   const int count = *rc::gen::inRange(1, 4);
@@ -128,10 +127,10 @@
   }
 }
 
-TEST_CASE("pages, lost, doubled and out of order, end in the peer's values") {
+TEST_CASE("lost, duplicated and reordered pages converge to the peer's values") {
   CHECK(rc::check("paging from a changing peer", [] {
     RecordStore peer;
-    // The second receiver pages from the first one, which is itself in the middle of its pages.
+    // The second receiver reads pages from the first one, which is itself still receiving pages.
     RecordStore first;
     RecordStore second;
     std::vector<Page> sent;
@@ -148,7 +147,7 @@
           sent.push_back(NextPage(first, second.revision()));
           break;
         default:
-          // Pages stay in the list: they may come again, late, or never, at either receiver.
+          // Pages stay in the list, so either receiver may get them repeatedly, late or never.
           if (!sent.empty()) {
             const Page& page = sent[*rc::gen::inRange<std::size_t>(0, sent.size())];
             ApplyPage(page, *rc::gen::arbitrary<bool>() ? &first : &second);
