--- a/src/table/record_store.cc
+++ b/src/table/record_store.cc
@@ -14,7 +14,7 @@
 // Allowance for a change's revision and for the framing of its key and record.
 constexpr std::size_t kChangeOverheadBytes = 32;
 
-// Returns an upper bound of a change's size on the wire. The JSON text names every field, so it is
+// Returns a high estimate of a change's size on the wire. The JSON text names every field, so it is
 // longer than the positional encoding that is sent. The message codec can't be used here, as it
 // depends on this module.
 std::size_t EstimatedSize(const RecordChange& change) {
