--- a/src/routing/request_router.cc
+++ b/src/routing/request_router.cc
@@ -78,6 +78,7 @@
     return;
   }
   // Copied, as `request` may refer to a state that is erased below.
+  // NOLINTNEXTLINE(performance-unnecessary-copy-initialization)
   const RequestId request_id = request;
   const ModelName model = state.request.model;
   if (state.stage == Stage::kRunning) {
